--- /dev/null
+++ b/appleshift/api/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP endpoints of a node for users, workers, peers and operators."""
--- a/appleshift/coordination/routing/context.py
+++ b/appleshift/api/context.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from appleshift.coordination import events
-from appleshift.coordination.leading.election import Election
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.contracts import events
+from appleshift.leader_election.election import Election
+from appleshift.leader_election.leader_lease import Leadership
 from appleshift.protocol import users, workers
 from appleshift.protocol.wire import encode
 from appleshift.transport.client import Caller
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 from appleshift.transport.server import Response
 
 ANSWER_S = 4.0
--- a/appleshift/coordination/routing/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Callable
 
-from appleshift.coordination.routing.context import RoutingContext, ShareReplica, unavailable
-from appleshift.coordination.routing.freshness import Freshness
+from appleshift.api.context import RoutingContext, ShareReplica, unavailable
+from appleshift.api.freshness import Freshness
 from appleshift.transport.client import ClientError
 from appleshift.transport.server import Request, Response
 
--- a/appleshift/coordination/routing/freshness.py
+++ b/appleshift/api/freshness.py
@@ -11,14 +11,14 @@
 
 from __future__ import annotations
 
-from appleshift.coordination.leading.leadership import DRIFT
-from appleshift.coordination.routing.context import (
+from appleshift.api.context import (
     CoreAnswer,
     RoutingContext,
     ShareReplica,
     respond,
     unavailable,
 )
+from appleshift.leader_election.leader_lease import DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import Answer
 from appleshift.transport.server import Response
--- a/appleshift/coordination/routing/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from appleshift.bookkeeping.journal import audit_key
-from appleshift.bookkeeping.store import Store, StoreError
-from appleshift.coordination import events
-from appleshift.coordination.routing.context import RoutingContext, respond, unavailable
-from appleshift.coordination.routing.forwarding import Forwarder
+from appleshift.api.context import RoutingContext, respond, unavailable
+from appleshift.api.forwarding import Forwarder
+from appleshift.contracts import events
 from appleshift.protocol import users
-from appleshift.transport.routines import RateBudget
+from appleshift.storage.key_value_store import Store, StoreError
+from appleshift.storage.write_ahead_log import audit_key
+from appleshift.transport.concurrency import RateBudget
 from appleshift.transport.server import Request, Response
 
 PAGES_RPS = 2.0
--- a/appleshift/coordination/routing/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -1,12 +1,12 @@
-"""Peers' requests: votes for a leader, heartbeats, reachability, calls between shares."""
+"""Peers' requests: votes for a leader, heartbeats, reachability, calls between sharding."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from appleshift.coordination import events
-from appleshift.coordination.routing.context import RoutingContext, respond, unavailable
-from appleshift.protocol import peers, shares, users
+from appleshift.api.context import RoutingContext, respond, unavailable
+from appleshift.contracts import events
+from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
 from appleshift.transport.server import Response
 
@@ -50,7 +50,7 @@
     def share_call(self, body: bytes) -> Response:
         """The holder of another share asks this one's."""
         try:
-            call = shares.decode_call(body)
+            call = sharding.decode_call(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         replica = self._context.replicas.get(call.to)
--- a/appleshift/coordination/routing/router.py
+++ b/appleshift/api/router.py
@@ -6,25 +6,25 @@
 from collections.abc import Callable, Mapping
 from urllib.parse import unquote, urlsplit
 
-from appleshift.bookkeeping.store import Store
-from appleshift.coordination import events
-from appleshift.coordination.routing.context import (
+from appleshift.api.context import (
     RoutingContext,
     ShareMapView,
     ShareReplica,
     refuse_method,
     respond,
 )
-from appleshift.coordination.routing.forwarding import Forwarder
-from appleshift.coordination.routing.freshness import Freshness
-from appleshift.coordination.routing.operator_endpoints import OperatorEndpoints
-from appleshift.coordination.routing.peer_endpoints import PeerEndpoints
-from appleshift.coordination.routing.user_endpoints import JOBS, UserEndpoints
-from appleshift.coordination.routing.worker_endpoints import WorkerEndpoints
-from appleshift.protocol import peers, shares, users
+from appleshift.api.forwarding import Forwarder
+from appleshift.api.freshness import Freshness
+from appleshift.api.operator_endpoints import OperatorEndpoints
+from appleshift.api.peer_endpoints import PeerEndpoints
+from appleshift.api.user_endpoints import JOBS, UserEndpoints
+from appleshift.api.worker_endpoints import WorkerEndpoints
+from appleshift.contracts import events
+from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
+from appleshift.storage.key_value_store import Store
 from appleshift.transport.client import Caller
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 from appleshift.transport.server import Request, Response
 
 log = logging.getLogger(__name__)
@@ -71,7 +71,7 @@
             return self._peers.vote(request.body)
         if request.path == peers.HELLO_PATH and request.method == "GET":
             return self._peers.heartbeat()
-        if request.path == shares.SHARE_PATH and request.method == "POST":
+        if request.path == sharding.SHARE_PATH and request.method == "POST":
             return self._peers.share_call(request.body)
         if request.path == peers.REPORTS_PATH and request.method == "POST":
             return self._workers.relayed_reports(request.body)
--- a/appleshift/coordination/routing/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from urllib.parse import parse_qs, urlsplit
 
-from appleshift.coordination import events
-from appleshift.coordination.routing.context import (
+from appleshift.api.context import (
     RoutingContext,
     ShareReplica,
     respond,
     unavailable,
 )
-from appleshift.coordination.routing.forwarding import Forwarder
-from appleshift.coordination.routing.freshness import Freshness
+from appleshift.api.forwarding import Forwarder
+from appleshift.api.freshness import Freshness
+from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.server import Request, Response
--- a/appleshift/coordination/routing/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from appleshift.coordination import events
-from appleshift.coordination.routing.context import (
+from appleshift.api.context import (
     MOST_LOAD,
     RoutingContext,
     ShareReplica,
     respond,
     unavailable,
 )
-from appleshift.intake import routes
-from appleshift.intake.relay import Relay
+from appleshift.contracts import events
+from appleshift.heartbeat_ingest import relay_assignment
+from appleshift.heartbeat_ingest.relay import Relay
 from appleshift.protocol import peers, users, workers
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.server import Response
@@ -55,7 +55,7 @@
         election = self._context.first.election
         here = election.name
         away = election.sent_away()
-        relay = routes.place(report.machine, away, election.relays()) if away else None
+        relay = relay_assignment.place(report.machine, away, election.relays()) if away else None
         if not self._context.elsewhere(self._context.first):
             if relay is not None and relay != here:
                 return respond(421, workers.redirect(relay))
@@ -73,7 +73,7 @@
         """The answer to a report that says nothing new, if it has come to the right node."""
         election = self._context.first.election
         away = election.sent_away() if self._context.share_map() is None else 0.0
-        if away and routes.place(glance.machine, away, election.relays()):
+        if away and relay_assignment.place(glance.machine, away, election.relays()):
             return None
         now = self._context.routines.now()
         for replica in [*self._context.replicas.values()]:
--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -152,7 +152,7 @@
 
 def _seats(address: str, as_json: bool, history: bool) -> int:
     # Loaded only here, with the libraries that it needs.
-    from appleshift.seats import show
+    from appleshift.counted_resources import display
 
     def ask(path: str) -> tuple[int, Any]:
         while True:
@@ -164,12 +164,12 @@
     until = time.monotonic() + SEATS_PATIENCE_S
     try:
         if history:
-            for entry in show.history(ask):
-                print(msgspec.json.encode(entry).decode() if as_json else show.line(entry))
+            for entry in display.history(ask):
+                print(msgspec.json.encode(entry).decode() if as_json else display.line(entry))
         else:
-            view = show.current(ask)
-            print(msgspec.json.encode(view).decode() if as_json else show.table(view))
-    except (ClientError, ProtocolError, ValueError, show.NotShownError) as error:
+            view = display.current(ask)
+            print(msgspec.json.encode(view).decode() if as_json else display.table(view))
+    except (ClientError, ProtocolError, ValueError, display.NotShownError) as error:
         print(f"appleshift: {address}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/appleshift/reach/duty.py
+++ b/appleshift/connectivity/hand_over.py
@@ -5,12 +5,12 @@
 import logging
 from collections.abc import Callable
 
+from appleshift.connectivity.monitor import Seen, Sight
+from appleshift.connectivity.peers import HELD_S, UNSURE_S, Others, Word
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.reach.others import HELD_S, UNSURE_S, Others, Word
-from appleshift.reach.sight import Seen, Sight
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/reach/others.py
+++ b/appleshift/connectivity/peers.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from appleshift.reach.sight import STEADY_S, Seen
+from appleshift.connectivity.monitor import STEADY_S, Seen
 
 WORD_S = 2.0
 """What a sibling said of itself is this young, or it says nothing."""
--- /dev/null
+++ b/appleshift/contracts/__init__.py
@@ -0,0 +1,1 @@
+"""What the parts of the scheduler agree on: events in, actions out, and their interfaces."""
--- a/appleshift/coordination/parts.py
+++ b/appleshift/contracts/interfaces.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from appleshift.bookkeeping.journal import Journal
-from appleshift.bookkeeping.records import Record
-from appleshift.bookkeeping.tables import Machine, Run, Tables
-from appleshift.coordination.outgoing.effects import Effect
-from appleshift.coordination.placing.aims import Aims
-from appleshift.coordination.placing.counted import Seats
-from appleshift.coordination.placing.placement import Shortage
+from appleshift.contracts.actions import Effect
+from appleshift.objectives.objectives import Aims
+from appleshift.placement.counted_resources import Seats
+from appleshift.placement.first_fit import Shortage
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Report
+from appleshift.state.cluster_state import Machine, Run, Tables
+from appleshift.storage.records import Record
+from appleshift.storage.write_ahead_log import Journal
 
 
 class Authority(Protocol):
@@ -80,7 +80,7 @@
 class Sharing(Protocol):
     """What a share has to do with the others, if there are several.
 
-    ``appleshift.shares`` implements it; nothing here loads it.
+    ``appleshift.sharding`` implements it; nothing here loads it.
     """
 
     number: int
--- a/appleshift/coordination/fleet/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The machines: rented, trusted, emptied and returned."""
--- a/appleshift/coordination/outgoing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What the core wants done, and the duties that do it."""
--- a/appleshift/coordination/placing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Which jobs are taken, and which tasks go to which machines."""
--- a/appleshift/coordination/routing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Routes HTTP requests of users, workers, peers and operators."""
--- a/appleshift/seats/grants.py
+++ b/appleshift/counted_resources/allocator.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from appleshift.bookkeeping.tables import EXITED, OPEN, ORDERED, Job, Run
-from appleshift.coordination.placing.room import lost_work, stop_grace
-from appleshift.protocol.seats import STOP
-from appleshift.seats.book import Book, Promise
+from appleshift.counted_resources.ledger import Book, Promise
+from appleshift.placement.fit import lost_work, stop_grace
+from appleshift.protocol.counted_resources import STOP
+from appleshift.state.cluster_state import EXITED, OPEN, ORDERED, Job, Run
 
 KEPT_FOR = 8
 """So many jobs have seats kept at once; the others stand in line behind them."""
--- a/appleshift/seats/trail.py
+++ b/appleshift/counted_resources/audit_log.py
@@ -10,10 +10,10 @@
 
 from typing import Any
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.index import from_ranges, to_ranges
-from appleshift.bookkeeping.records import Record
 from appleshift.protocol.users import Submission
+from appleshift.state.name_index import from_ranges, to_ranges
+from appleshift.storage import records
+from appleshift.storage.records import Record
 
 GRANT, RETURN, DEFINE = "grant", "return", "define"
 TASKS_AN_ENTRY = 100
--- a/appleshift/seats/show.py
+++ b/appleshift/counted_resources/display.py
@@ -8,8 +8,8 @@
 
 from tabulate import tabulate
 
-from appleshift.bookkeeping.index import from_ranges
-from appleshift.seats.trail import DEFINE
+from appleshift.counted_resources.audit_log import DEFINE
+from appleshift.state.name_index import from_ranges
 
 Ask = Callable[[str], tuple[int, Any]]
 """Asks a node for a path; returns status and body."""
--- a/appleshift/seats/book.py
+++ b/appleshift/counted_resources/ledger.py
@@ -3,7 +3,7 @@
 A seat is held from the assignment until the task is certainly gone, by the same
 proof that frees its room on a machine, since both follow ``Tables.assign`` and
 ``Tables.free``. What a licence server hands out is held a little longer: until
-the server has taken the seat back (``seats/account.py``).
+the server has taken the seat back (``counted_resources/license_reservation.py``).
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from appleshift.bookkeeping.index import NameIndex
-from appleshift.bookkeeping.tables import Job, Run, Tables
-from appleshift.protocol.seats import SeatDefinition, asked
+from appleshift.counted_resources.license_reservation import Account
+from appleshift.protocol.counted_resources import SeatDefinition, asked
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
-from appleshift.seats.account import Account
+from appleshift.state.cluster_state import Job, Run, Tables
+from appleshift.state.name_index import NameIndex
 
 
 def holder_name(task: str, attempt: int) -> str:
--- a/appleshift/seats/calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.coordination import events
-from appleshift.protocol import licences
+from appleshift.contracts import events
+from appleshift.counted_resources.license_reservation import ANSWER_S, Ask
+from appleshift.protocol import license_server
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError
-from appleshift.seats.account import ANSWER_S, Ask
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Pool, Routines
+from appleshift.transport.concurrency import Pool, Routines
 
 log = logging.getLogger(__name__)
 
@@ -46,14 +46,14 @@
         self._pool.submit(self._send, client, ask, term)
 
     def _send(self, client: Caller, ask: Ask, term: Any) -> None:
-        standing: licences.Standing | None = None
+        standing: license_server.Standing | None = None
         try:
             if self._entitled():
-                path = licences.heartbeat_path(ask.resource)
-                body = licences.encode_heartbeat(ask.heartbeat)
+                path = license_server.heartbeat_path(ask.resource)
+                body = license_server.encode_heartbeat(ask.heartbeat)
                 status, answer = client.request("POST", path, body, ANSWER_S)
                 if status == 200:
-                    standing = licences.decode_standing(answer)
+                    standing = license_server.decode_standing(answer)
                 else:
                     log.info("licence server of %s: status %d", ask.resource, status)
         except (ClientError, ProtocolError) as error:
--- a/appleshift/seats/account.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -21,8 +21,8 @@
 
 import msgspec
 
-from appleshift.protocol.licences import ACCOUNT, MAX_RETURNS, Heartbeat, Standing
-from appleshift.protocol.seats import TRUST, LicenceServer
+from appleshift.protocol.counted_resources import TRUST, LicenceServer
+from appleshift.protocol.license_server import ACCOUNT, MAX_RETURNS, Heartbeat, Standing
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/seats/part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -10,18 +10,18 @@
 from collections.abc import Iterable
 from typing import Any
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.journal import Journal
-from appleshift.bookkeeping.records import Record, Replay
-from appleshift.bookkeeping.tables import OPEN, Job
-from appleshift.protocol.licences import Standing
+from appleshift.counted_resources.allocator import Grants
+from appleshift.counted_resources.audit_log import Trail
+from appleshift.counted_resources.ledger import Book, holder_name
+from appleshift.counted_resources.license_reservation import Account, Ask
+from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, from_record, to_record
+from appleshift.protocol.license_server import Standing
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.seats import SeatDefinition, SeatRules, from_record, to_record
 from appleshift.protocol.wire import MAX_BODY, json_size
-from appleshift.seats.account import Account, Ask
-from appleshift.seats.book import Book, holder_name
-from appleshift.seats.grants import Grants
-from appleshift.seats.trail import Trail
+from appleshift.state.cluster_state import OPEN, Job
+from appleshift.storage import records
+from appleshift.storage.records import Record, Replay
+from appleshift.storage.write_ahead_log import Journal
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/outgoing/outbound.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.coordination import events
-from appleshift.coordination.outgoing.effects import Delete, Inspect, Push, Rent
+from appleshift.contracts import events
+from appleshift.contracts.actions import Delete, Inspect, Push, Rent
 from appleshift.protocol import cloud, workers
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError, decode, encode
 from appleshift.protocol.workers import Report, decode_report
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Pool, RateBudget, Routines
+from appleshift.transport.concurrency import Pool, RateBudget, Routines
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/outgoing/orders.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -8,11 +8,11 @@
 
 from typing import Any
 
-from appleshift.bookkeeping.tables import EXITED, ORDERED, Machine
-from appleshift.coordination.outgoing.effects import Push
-from appleshift.coordination.parts import Term
+from appleshift.contracts.actions import Push
+from appleshift.contracts.interfaces import Term
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Report
+from appleshift.state.cluster_state import EXITED, ORDERED, Machine
 
 REORDER_S = 1.0
 """A command without visible effect is pushed again after this long."""
--- /dev/null
+++ b/appleshift/heartbeat_ingest/__init__.py
@@ -0,0 +1,1 @@
+"""Heartbeats taken in by every node: the fast path, and relays to the leader."""
--- a/appleshift/intake/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -21,7 +21,7 @@
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError, encode
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Pool, Routines
+from appleshift.transport.concurrency import Pool, Routines
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/leading/election.py
+++ b/appleshift/leader_election/election.py
@@ -7,13 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from appleshift.bookkeeping.store import LeaseGoneError, Store, StoreError, TxnFailedError
-from appleshift.coordination.leading.leadership import Leadership
-from appleshift.protocol import peers, state
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.protocol import kv, peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.wire import ProtocolError, encode
+from appleshift.storage.key_value_store import LeaseGoneError, Store, StoreError, TxnFailedError
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
     return f"share/{share:04d}/holder" if share else LEADER_KEY
 
 
-def _named(item: state.Item) -> dict[str, Any]:
+def _named(item: kv.Item) -> dict[str, Any]:
     """What a leader's key says; empty if nobody can read it."""
     return item.value if isinstance(item.value, dict) else {}
 
@@ -319,13 +319,13 @@
             mark = f"{self._mark}.{self._attempt}"
             value = {"name": self.name, "token": token, "mark": mark}
             guards = [
-                state.guard(self.key, 0),
-                state.guard(TOKEN_KEY, version),
-                *(state.guard(*each) for each in also),
+                kv.guard(self.key, 0),
+                kv.guard(TOKEN_KEY, version),
+                *(kv.guard(*each) for each in also),
             ]
             changes = [
-                state.put(self.key, value, lease),
-                state.put(TOKEN_KEY, {"token": token}),
+                kv.put(self.key, value, lease),
+                kv.put(TOKEN_KEY, {"token": token}),
             ]
             settled = False
             try:
--- a/appleshift/coordination/leading/commit.py
+++ b/appleshift/leader_election/log_committer.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.bookkeeping.journal import Txn
-from appleshift.bookkeeping.store import LeaseGoneError, Store, StoreError, TxnFailedError
-from appleshift.coordination import events
-from appleshift.transport.routines import Routines
+from appleshift.contracts import events
+from appleshift.storage.key_value_store import LeaseGoneError, Store, StoreError, TxnFailedError
+from appleshift.storage.write_ahead_log import Txn
+from appleshift.transport.concurrency import Routines
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/leading/neighbours.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -10,17 +10,17 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from appleshift.coordination.leading.election import Election
+from appleshift.leader_election.election import Election
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 
 log = logging.getLogger(__name__)
 
 
 class Reach(Protocol):
-    """What follows from who reaches what; see ``appleshift.reach``."""
+    """What follows from who reaches what; see ``appleshift.connectivity``."""
 
     def told(self, sibling: str, hello: peers.Hello, now: float) -> None: ...
 
--- /dev/null
+++ b/appleshift/machines/__init__.py
@@ -0,0 +1,1 @@
+"""The machines of a shard: adoption, liveness, health and return."""
--- a/appleshift/coordination/fleet/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -6,20 +6,20 @@
 from collections import deque
 from typing import Any
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.tables import BOOTING, UP, Machine
-from appleshift.coordination.fleet.consolidation import Consolidation
-from appleshift.coordination.fleet.health import Health
-from appleshift.coordination.fleet.provisioning import Pool
-from appleshift.coordination.outgoing.effects import Inspect, Rent
-from appleshift.coordination.pace import Capacity, Pace
-from appleshift.coordination.parts import Term, Trust
-from appleshift.coordination.placing.placement import Shortage
-from appleshift.coordination.placing.room import stop_grace
+from appleshift.contracts.actions import Inspect, Rent
+from appleshift.contracts.interfaces import Term, Trust
+from appleshift.machines.health import Health
+from appleshift.node_limits.node_limits import Capacity, Pace
+from appleshift.placement.first_fit import Shortage
+from appleshift.placement.fit import stop_grace
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine, MachineType
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Report
+from appleshift.provisioning.consolidation import Consolidation
+from appleshift.provisioning.pool import Pool
+from appleshift.state.cluster_state import BOOTING, UP, Machine
+from appleshift.storage import records
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/fleet/health.py
+++ b/appleshift/machines/health.py
@@ -10,10 +10,10 @@
 
 import logging
 
-from appleshift.bookkeeping.tables import EXITED, UP, Job, Machine
-from appleshift.coordination.outgoing.effects import Inspect
-from appleshift.coordination.parts import Machines
-from appleshift.coordination.placing.room import zone_room
+from appleshift.contracts.actions import Inspect
+from appleshift.contracts.interfaces import Machines
+from appleshift.placement.fit import zone_room
+from appleshift.state.cluster_state import EXITED, UP, Job, Machine
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/fleet/hearing.py
+++ b/appleshift/machines/liveness.py
@@ -20,10 +20,10 @@
 
 import math
 
-from appleshift.bookkeeping.tables import UP, Machine
-from appleshift.coordination.outgoing.effects import Inspect
-from appleshift.coordination.parts import Term
+from appleshift.contracts.actions import Inspect
+from appleshift.contracts.interfaces import Term
 from appleshift.protocol.workers import ANSWER_S, Report
+from appleshift.state.cluster_state import UP, Machine
 
 
 class Hearing:
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -11,29 +11,29 @@
 from itertools import zip_longest
 from typing import TYPE_CHECKING
 
-from appleshift.bookkeeping.store import Store
-from appleshift.coordination import events
-from appleshift.coordination.core import Core
-from appleshift.coordination.leading.election import Election
-from appleshift.coordination.leading.leadership import Leadership
-from appleshift.coordination.leading.neighbours import Neighbours
-from appleshift.coordination.outgoing.outbound import CloudCalls, WorkerCalls
-from appleshift.coordination.pace import Capacity, Load
-from appleshift.coordination.routing.router import RequestRouter
-from appleshift.holding import Holding, House
-from appleshift.intake import routes
+from appleshift.api.router import RequestRouter
+from appleshift.connectivity.hand_over import Reach
+from appleshift.connectivity.monitor import SAMPLE
+from appleshift.contracts import events
+from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
+from appleshift.heartbeat_ingest import relay_assignment
+from appleshift.leader_election.election import Election
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.leader_election.peer_monitor import Neighbours
+from appleshift.node_limits.node_limits import Capacity, Load
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
-from appleshift.reach.duty import Reach
-from appleshift.reach.sight import SAMPLE
+from appleshift.scheduler.scheduler import Core
+from appleshift.shard_replica import Holding, House
+from appleshift.storage.key_value_store import Store
 from appleshift.transport.client import Caller, HttpClient
-from appleshift.transport.routines import Routines, Threads
+from appleshift.transport.concurrency import Routines, Threads
 from appleshift.transport.server import Listener
 
 if TYPE_CHECKING:
-    from appleshift.shares.keeper import Keeper
-    from appleshift.shares.map import ShareMap
+    from appleshift.sharding.shard_map import ShareMap
+    from appleshift.sharding.shard_map_follower import Keeper
 
 log = logging.getLogger(__name__)
 
@@ -117,7 +117,7 @@
             self.workers.reaches,
             routines,
             self.store,
-            lambda: routes.audible(capacity.machines, len(self.election.relays())),
+            lambda: relay_assignment.audible(capacity.machines, len(self.election.relays())),
             self._hello,
             self._map,
             lambda: self._connections() > CROWDED * capacity.connections,
@@ -214,7 +214,7 @@
 
     def _keep(self) -> None:
         """From now on this node goes by the map of shares."""
-        from appleshift.shares.keeper import Keeper
+        from appleshift.sharding.shard_map_follower import Keeper
 
         self.keeper = Keeper(self._house, self.holdings, self._neighbours, self._grow)
         self._house.keeper = self.keeper
@@ -330,8 +330,10 @@
         elif self.operator.spread_reports and now - self._relayed_at < RELAYS_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        core.fleet.hear(routes.audible(places, relays))
-        share = routes.share(len(core.tables.machines), places, relays, self.election.share_sent)
+        core.fleet.hear(relay_assignment.audible(places, relays))
+        share = relay_assignment.share(
+            len(core.tables.machines), places, relays, self.election.share_sent
+        )
         if share != self.election.share_sent:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
             self.election.share_sent = share
--- /dev/null
+++ b/appleshift/node_limits/__init__.py
@@ -0,0 +1,1 @@
+"""What one node takes on at once, and how its duties share its processor."""
--- a/appleshift/coordination/serving/served.py
+++ b/appleshift/objectives/achieved.py
@@ -19,9 +19,9 @@
 import logging
 from dataclasses import dataclass
 
-from appleshift.bookkeeping.tables import CANCELLED, FINISHED, Job, Tables
-from appleshift.coordination.placing.aims import Aims, Due
-from appleshift.coordination.serving.counts import Parts
+from appleshift.objectives.objectives import Aims, Due
+from appleshift.objectives.sliding_ratio import Parts
+from appleshift.state.cluster_state import CANCELLED, FINISHED, Job, Tables
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/placing/aims.py
+++ b/appleshift/objectives/objectives.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from appleshift.bookkeeping.tables import Job
-from appleshift.coordination.placing.turns import Spare
+from appleshift.objectives.recent_demand import Spare
 from appleshift.protocol.settings import Objective
+from appleshift.state.cluster_state import Job
 
 PATIENCE_SHARE = 0.25
 """Of the wait that the users accept, this much may pass before others are stopped."""
--- a/appleshift/coordination/placing/admission.py
+++ b/appleshift/placement/admission.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from appleshift.bookkeeping.tables import Tables, type_fits
-from appleshift.coordination.placing.counted import Seats
+from appleshift.placement.counted_resources import Seats
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import Tables, type_fits
 
 
 def refusal(tables: Tables, spec: Submission, seats: Seats | None) -> tuple[int, str] | None:
--- a/appleshift/coordination/placing/counted.py
+++ b/appleshift/placement/counted_resources.py
@@ -1,6 +1,6 @@
 """What the core needs of counted resources, where any are defined.
 
-``appleshift.seats`` implements these protocols; nothing here loads it.
+``appleshift.counted_resources`` implements these protocols; nothing here loads it.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from appleshift.bookkeeping.records import Record
-from appleshift.bookkeeping.tables import Counted, Job, Run
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import Counted, Job, Run
+from appleshift.storage.records import Record
 
 
 class SeatPass(Protocol):
--- a/appleshift/coordination/placing/turns.py
+++ b/appleshift/placement/fair_share.py
@@ -14,12 +14,12 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
-from appleshift.bookkeeping.tables import OPEN, Job, Machine, Tables
+from appleshift.objectives.recent_demand import Spare
+from appleshift.state.cluster_state import OPEN, Job, Machine, Tables
 
 FOOT_S = 60.0
 """An array of which nothing began by then gets a place for a task."""
@@ -33,29 +33,6 @@
 themselves, and what guests have."""
 LONG_S = 30.0
 """Guests' tasks that run for less leave soon enough."""
-LOOK_S = 1.0
-KEPT_S = 60.0
-
-
-class Spare:
-    """What work with aims needed lately, in CPUs; of one term."""
-
-    def __init__(self) -> None:
-        self._seen: deque[tuple[float, float]] = deque()
-
-    def due(self, now: float) -> bool:
-        return not self._seen or now - self._seen[-1][0] >= LOOK_S
-
-    def note(self, now: float, cpus: float) -> None:
-        self._seen.append((now, cpus))
-        while self._seen[0][0] < now - KEPT_S:
-            self._seen.popleft()
-
-    def needed(self) -> float:
-        """Between what it needed on average and at most: for the average, guests would
-        have the room of each second peak; for the most, much would lie idle."""
-        amounts = [cpus for _, cpus in self._seen]
-        return (sum(amounts) / len(amounts) + max(amounts)) / 2 if amounts else 0.0
 
 
 class Guests(Protocol):
--- a/appleshift/coordination/placing/placement.py
+++ b/appleshift/placement/first_fit.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from appleshift.bookkeeping.tables import EPSILON, OPEN, Job, Machine, Run, Tables
-from appleshift.coordination.placing.aims import GATHER_AT_LAST_S, Aims
-from appleshift.coordination.placing.counted import SeatPass
-from appleshift.coordination.placing.preemption import Preemption
-from appleshift.coordination.placing.room import Failures, ends_anywhere, how_many, zone_room
-from appleshift.coordination.placing.turns import turns
+from appleshift.objectives.objectives import GATHER_AT_LAST_S, Aims
+from appleshift.placement.counted_resources import SeatPass
+from appleshift.placement.fair_share import turns
+from appleshift.placement.fit import Failures, ends_anywhere, how_many, zone_room
+from appleshift.placement.preemption import Preemption
+from appleshift.state.cluster_state import EPSILON, OPEN, Job, Machine, Run, Tables
 
 SLOW_FETCH = 4 / 3
 """Machines fetch images at their rate, give or take a third."""
--- a/appleshift/coordination/placing/room.py
+++ b/appleshift/placement/fit.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from typing import Protocol
 
-from appleshift.bookkeeping.tables import EPSILON, Job, Run, Tables
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import EPSILON, Job, Run, Tables
 
 
 class Size(Protocol):
--- a/appleshift/coordination/placing/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -10,8 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Protocol
 
-from appleshift.bookkeeping.tables import EPSILON, EXITED, ORDERED, Job, Machine, Run, Tables
-from appleshift.coordination.placing.room import (
+from appleshift.placement.fit import (
     Failures,
     how_many,
     lost_work,
@@ -19,6 +18,7 @@
     zone_room,
 )
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import EPSILON, EXITED, ORDERED, Job, Machine, Run, Tables
 
 
 @dataclass(slots=True)
--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -16,7 +16,7 @@
 from appleshift.protocol.settings import Settings, SettingsError
 
 if TYPE_CHECKING:
-    from appleshift.protocol.seats import SeatDefinition, SeatRules
+    from appleshift.protocol.counted_resources import SeatDefinition, SeatRules
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,7 +106,7 @@
 
 def _add_seats(file: Any, kinds: dict[str, Any]) -> None:
     """The messages of counted resources, with the fields that Structs of
-    ``protocol/seats.py`` have."""
+    ``protocol/counted_resources.py`` have."""
     from google.protobuf.descriptor_pb2 import FieldDescriptorProto as Field
 
     for name, values in _SEAT_ENUMS.items():
@@ -233,7 +233,7 @@
     """Counted resources, read with their own layout and checked."""
     import msgspec
 
-    from appleshift.protocol import seats as protocol
+    from appleshift.protocol import counted_resources as protocol
 
     def refuse(text: str, reason: str) -> SettingsError:
         path, line = where.get(f'"{text}"', where.get(text, (last, 1)))
--- a/appleshift/protocol/users.py
+++ b/appleshift/protocol/users.py
@@ -78,7 +78,7 @@
     deadline_s: Amount | None = None
     seats: Any = None
     """Counted resources: name -> count for each task. Read only where such
-    resources are defined (``protocol/seats.py``); elsewhere it is ignored like
+    resources are defined (``protocol/counted_resources.py``); elsewhere it is ignored like
     any unknown field, however malformed."""
 
 
--- a/appleshift/coordination/fleet/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -10,9 +10,9 @@
 
 import logging
 
-from appleshift.bookkeeping.tables import EPSILON, RUNNING, UP, Job, Machine, Run
-from appleshift.coordination.parts import Machines
-from appleshift.coordination.placing.room import zone_room
+from appleshift.contracts.interfaces import Machines
+from appleshift.placement.fit import zone_room
+from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, Run
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/fleet/provisioning.py
+++ b/appleshift/provisioning/pool.py
@@ -6,14 +6,14 @@
 import math
 from collections import Counter
 
-from appleshift.bookkeeping.tables import BOOTING, OPEN, UP, Job, Machine, Tables
-from appleshift.coordination.fleet.scaling import Market, Plan, find_plan, machines_for
-from appleshift.coordination.fleet.unclaimed import rent_unclaimed
-from appleshift.coordination.parts import Machines, Need
-from appleshift.coordination.placing.placement import Shortage
-from appleshift.coordination.placing.room import how_many, zone_room
+from appleshift.contracts.interfaces import Machines, Need
+from appleshift.placement.first_fit import Shortage
+from appleshift.placement.fit import how_many, zone_room
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import MachineType
+from appleshift.provisioning.planner import Market, Plan, find_plan, machines_for
+from appleshift.provisioning.unclaimed_gpu_machines import rent_unclaimed
+from appleshift.state.cluster_state import BOOTING, OPEN, UP, Job, Machine, Tables
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/fleet/unclaimed.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
-from appleshift.coordination.parts import Machines
-from appleshift.coordination.placing.room import ends_anywhere
+from appleshift.contracts.interfaces import Machines
+from appleshift.placement.fit import ends_anywhere
 from appleshift.protocol import cloud
 
 DEAREST = 2.0
--- a/appleshift/coordination/requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.tables import CANCELLED, ELSEWHERE, FINISHED, OPEN, Job
-from appleshift.coordination.parts import Sharing, Term
-from appleshift.coordination.placing.admission import refusal
+from appleshift.contracts.interfaces import Sharing, Term
+from appleshift.placement.admission import refusal
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import CANCELLED, ELSEWHERE, FINISHED, OPEN, Job
+from appleshift.storage import records
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/coordination/core.py
+++ b/appleshift/scheduler/scheduler.py
@@ -12,10 +12,25 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.journal import Journal
-from appleshift.bookkeeping.records import Record, Replay
-from appleshift.bookkeeping.tables import (
+from appleshift.contracts.actions import Delete, Effect, Reply
+from appleshift.contracts.interfaces import Authority, Sharing
+from appleshift.dispatch.worker_commands import REORDER_S, Orders
+from appleshift.heartbeat_ingest.fast_path import Express
+from appleshift.machines.fleet import Fleet
+from appleshift.machines.liveness import Hearing
+from appleshift.node_limits.node_limits import Pace
+from appleshift.objectives.objectives import Aims
+from appleshift.placement.counted_resources import Seats
+from appleshift.placement.first_fit import Placer
+from appleshift.placement.fit import stop_grace
+from appleshift.protocol import cloud, users, workers
+from appleshift.protocol.operator import OperatorSettings
+from appleshift.protocol.settings import Settings
+from appleshift.protocol.users import Submission
+from appleshift.protocol.wire import encode
+from appleshift.protocol.workers import Report, TaskReport
+from appleshift.scheduler.job_requests import Requests
+from appleshift.state.cluster_state import (
     CANCELLED,
     EXITED,
     FINISHED,
@@ -30,24 +45,9 @@
     Run,
     Tables,
 )
-from appleshift.coordination.fleet.fleet import Fleet
-from appleshift.coordination.fleet.hearing import Hearing
-from appleshift.coordination.outgoing.effects import Delete, Effect, Reply
-from appleshift.coordination.outgoing.orders import REORDER_S, Orders
-from appleshift.coordination.pace import Pace
-from appleshift.coordination.parts import Authority, Sharing
-from appleshift.coordination.placing.aims import Aims
-from appleshift.coordination.placing.counted import Seats
-from appleshift.coordination.placing.placement import Placer
-from appleshift.coordination.placing.room import stop_grace
-from appleshift.coordination.requests import Requests
-from appleshift.intake.express import Express
-from appleshift.protocol import cloud, users, workers
-from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.settings import Settings
-from appleshift.protocol.users import Submission
-from appleshift.protocol.wire import encode
-from appleshift.protocol.workers import Report, TaskReport
+from appleshift.storage import records
+from appleshift.storage.records import Record, Replay
+from appleshift.storage.write_ahead_log import Journal
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/holding.py
+++ b/appleshift/shard_replica.py
@@ -7,16 +7,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from appleshift.bookkeeping.journal import Journal, share_prefix
-from appleshift.bookkeeping.records import Replay, Trail
-from appleshift.bookkeeping.store import Store, StoreError, TxnFailedError, recover
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination import events
-from appleshift.coordination.core import Core
-from appleshift.coordination.leading.commit import Committer
-from appleshift.coordination.leading.election import Election, Term
-from appleshift.coordination.leading.leadership import Leadership
-from appleshift.coordination.outgoing.effects import (
+from appleshift.contracts import events
+from appleshift.contracts.actions import (
     CallShare,
     Delete,
     Effect,
@@ -25,20 +17,28 @@
     Rent,
     Reply,
 )
-from appleshift.coordination.outgoing.outbound import CloudCalls, WorkerCalls
-from appleshift.coordination.parts import Sharing
-from appleshift.coordination.placing.counted import Seats
-from appleshift.coordination.serving import Served
+from appleshift.contracts.interfaces import Sharing
+from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
+from appleshift.leader_election.election import Election, Term
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.leader_election.log_committer import Committer
+from appleshift.objectives.achieved import Served
+from appleshift.placement.counted_resources import Seats
 from appleshift.protocol import users
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.wire import ProtocolError
 from appleshift.protocol.workers import Glance
+from appleshift.scheduler.scheduler import Core
+from appleshift.state.cluster_state import Tables
+from appleshift.storage.key_value_store import Store, StoreError, TxnFailedError, recover
+from appleshift.storage.records import Replay, Trail
+from appleshift.storage.write_ahead_log import Journal, share_prefix
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import Routines
+from appleshift.transport.concurrency import Routines
 
 if TYPE_CHECKING:
-    from appleshift.seats.calls import LicenceCalls
+    from appleshift.counted_resources.license_calls import LicenceCalls
 
 log = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
 
 
 class Keeper(Protocol):
-    """The map of shares, and calls between their holders; see ``appleshift.shares``."""
+    """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
     def sharing(self, term: Term, replay: Replay) -> Sharing | None:
         """What a share's new core has to do with the others; None with one share.
@@ -241,7 +241,7 @@
         house = self.house
         for ask in seats.asks(now):
             if house.licences is None:
-                from appleshift.seats.calls import LicenceCalls
+                from appleshift.counted_resources.license_calls import LicenceCalls
 
                 house.licences = LicenceCalls(
                     house.post,
@@ -347,7 +347,7 @@
         """
         if self.share or (not self.house.operator.seats and not replay.seats):
             return None
-        from appleshift.seats.part import build
+        from appleshift.counted_resources.scheduler_part import build
 
         return build(self.house.operator, replay, journal, term.token, self.house.routines.wall())
 
@@ -395,7 +395,7 @@
 
 def _make_trail(written: int) -> Trail:
     """The log speaks of counted resources: their audit is followed from there."""
-    from appleshift.seats.trail import Trail as Audit
+    from appleshift.counted_resources.audit_log import Trail as Audit
 
     return Audit(written)
 
--- /dev/null
+++ b/appleshift/sharding/__init__.py
@@ -0,0 +1,1 @@
+"""Machines and jobs divided into shards, each with a leader of its own."""
--- a/appleshift/shares/portions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -14,13 +14,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.index import from_ranges, to_ranges
-from appleshift.bookkeeping.records import Record
-from appleshift.bookkeeping.tables import CANCELLED, FINISHED, OPEN, Job, portion_key
 from appleshift.protocol import users
-from appleshift.protocol.shares import Ask, Portion, Standing
-from appleshift.shares.terms import ShareCore
+from appleshift.protocol.sharding import Ask, Portion, Standing
+from appleshift.sharding.interfaces import ShareCore
+from appleshift.state.cluster_state import CANCELLED, FINISHED, OPEN, Job, portion_key
+from appleshift.state.name_index import from_ranges, to_ranges
+from appleshift.storage import records
+from appleshift.storage.records import Record
 
 DIVIDED = 24
 """Arrays of so many tasks for each share are divided: of smaller ones each share
--- a/appleshift/shares/overview.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -4,16 +4,16 @@
 
 from collections import defaultdict
 
-from appleshift.bookkeeping.tables import UP as MACHINE_UP
-from appleshift.bookkeeping.tables import Machine
-from appleshift.coordination.parts import Need
-from appleshift.coordination.placing.room import how_many
+from appleshift.contracts.interfaces import Need
+from appleshift.placement.fit import how_many
 from appleshift.protocol import cloud
-from appleshift.protocol.shares import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
-from appleshift.shares.handing import Handing
-from appleshift.shares.map import ShareMap
-from appleshift.shares.reporting import lacking as lacking_in
-from appleshift.shares.terms import DIGEST_S, ShareCore
+from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
+from appleshift.sharding.interfaces import DIGEST_S, ShareCore
+from appleshift.sharding.machine_transfer import Handing
+from appleshift.sharding.shard_map import ShareMap
+from appleshift.sharding.shard_reporter import lacking as lacking_in
+from appleshift.state.cluster_state import UP as MACHINE_UP
+from appleshift.state.cluster_state import Machine
 
 LACKING_S = 12.0
 """Work of a share that waits for so long has too few machines there, whatever
--- a/appleshift/shares/terms.py
+++ b/appleshift/sharding/interfaces.py
@@ -4,10 +4,10 @@
 
 from typing import Any, Protocol
 
-from appleshift.bookkeeping.tables import Job
-from appleshift.coordination.fleet.fleet import Fleet
-from appleshift.coordination.requests import Answering
-from appleshift.intake.express import Express
+from appleshift.heartbeat_ingest.fast_path import Express
+from appleshift.machines.fleet import Fleet
+from appleshift.scheduler.job_requests import Answering
+from appleshift.state.cluster_state import Job
 
 DIGEST_S = 1.0
 """How often the leader hears of the other shares."""
--- a/appleshift/shares/handing.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -12,10 +12,10 @@
 
 import logging
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.tables import Given
-from appleshift.protocol.shares import GivenMachine
-from appleshift.shares.terms import MACHINES_A_CALL, ShareCore
+from appleshift.protocol.sharding import GivenMachine
+from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
+from appleshift.state.cluster_state import Given
+from appleshift.storage import records
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/shares/map.py
+++ b/appleshift/sharding/shard_map.py
@@ -14,7 +14,7 @@
 from xxhash import xxh3_64_intdigest
 
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.shares import Epoch
+from appleshift.protocol.sharding import Epoch
 
 
 class ShareMap:
--- a/appleshift/shares/keeper.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -21,18 +21,13 @@
 
 import msgspec
 
-from appleshift.bookkeeping.journal import share_prefix
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.store import StoreError, TxnFailedError, recover
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination import events
-from appleshift.coordination.leading.election import HEARD_S, Term
-from appleshift.coordination.leading.neighbours import Neighbours
-from appleshift.coordination.outgoing.effects import CallShare
-from appleshift.coordination.pace import Capacity
-from appleshift.holding import Holding, House
-from appleshift.protocol import peers, state
-from appleshift.protocol.shares import (
+from appleshift.contracts import events
+from appleshift.contracts.actions import CallShare
+from appleshift.leader_election.election import HEARD_S, Term
+from appleshift.leader_election.peer_monitor import Neighbours
+from appleshift.node_limits.node_limits import Capacity
+from appleshift.protocol import kv, peers
+from appleshift.protocol.sharding import (
     MAP_KEY,
     SHARE_PATH,
     Epoch,
@@ -42,12 +37,17 @@
     map_value,
 )
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.shares import assignment
-from appleshift.shares.assignment import Controller, Steward
-from appleshift.shares.map import ShareMap, epoch
-from appleshift.shares.sharing import Sharing
+from appleshift.shard_replica import Holding, House
+from appleshift.sharding import shard_assigner
+from appleshift.sharding.shard_assigner import Controller, Steward
+from appleshift.sharding.shard_map import ShareMap, epoch
+from appleshift.sharding.sharding import Sharing
+from appleshift.state.cluster_state import Tables
+from appleshift.storage.key_value_store import StoreError, TxnFailedError, recover
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import share_prefix
 from appleshift.transport.client import ClientError
-from appleshift.transport.routines import Pool
+from appleshift.transport.concurrency import Pool
 
 log = logging.getLogger(__name__)
 
@@ -176,10 +176,10 @@
         """Put the map in the place of that version; returns its own."""
         value = msgspec.structs.replace(value, mark=term.mark)
         guards = [
-            state.guard(self._holdings[0].election.key, term.version),
-            state.guard(MAP_KEY, version),
+            kv.guard(self._holdings[0].election.key, term.version),
+            kv.guard(MAP_KEY, version),
         ]
-        put = state.put(MAP_KEY, msgspec.to_builtins(value))
+        put = kv.put(MAP_KEY, msgspec.to_builtins(value))
         try:
             return self.house.store.txn(guards, [put])
         except TxnFailedError:
@@ -247,9 +247,9 @@
         # Who held it is gone, though what it said of itself is not old yet.
         former = self._holdings[share].election.former
         there = [each for each in controllers if each.name == name or each.name != former]
-        rank = assignment.heirs(share, there).index(name)
+        rank = shard_assigner.heirs(share, there).index(name)
         starting = now - self._began < GATHERING_S
-        return (rank + ahead) * (assignment.FIRST_RANK_S if starting else assignment.RANK_S)
+        return (rank + ahead) * (shard_assigner.FIRST_RANK_S if starting else shard_assigner.RANK_S)
 
     def step(self, now: float) -> None:
         """Called by the cores' routine: ask for moves, or carry one out."""
--- a/appleshift/shares/reporting.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -10,11 +10,8 @@
 
 import logging
 
-from appleshift.bookkeeping.tables import UP as MACHINE_UP
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination.fleet.provisioning import Pool, need_of
-from appleshift.coordination.parts import Need
-from appleshift.protocol.shares import (
+from appleshift.contracts.interfaces import Need
+from appleshift.protocol.sharding import (
     GONE,
     LEAVING,
     MOVED,
@@ -24,8 +21,11 @@
     NeedNow,
     Plan,
 )
-from appleshift.shares.handing import Handing
-from appleshift.shares.terms import MACHINES_A_CALL, ShareCore
+from appleshift.provisioning.pool import Pool, need_of
+from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
+from appleshift.sharding.machine_transfer import Handing
+from appleshift.state.cluster_state import UP as MACHINE_UP
+from appleshift.state.cluster_state import Tables
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/shares/sharing.py
+++ b/appleshift/sharding/sharding.py
@@ -12,19 +12,19 @@
 from collections import defaultdict
 from typing import Any
 
-from appleshift.bookkeeping.records import Record
-from appleshift.bookkeeping.tables import Job, Machine, type_fits
-from appleshift.coordination.outgoing.effects import CallShare
-from appleshift.coordination.parts import Need
+from appleshift.contracts.actions import CallShare
+from appleshift.contracts.interfaces import Need
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.shares import Ask, Digest, Plan, Told
+from appleshift.protocol.sharding import Ask, Digest, Plan, Told
 from appleshift.protocol.users import Submission
-from appleshift.shares.handing import Handing
-from appleshift.shares.map import ShareMap, pinned
-from appleshift.shares.overview import Overview
-from appleshift.shares.portions import Portions
-from appleshift.shares.reporting import Reporting
-from appleshift.shares.terms import DIGEST_S, ShareCore
+from appleshift.sharding.array_partitions import Portions
+from appleshift.sharding.fleet_summary import Overview
+from appleshift.sharding.interfaces import DIGEST_S, ShareCore
+from appleshift.sharding.machine_transfer import Handing
+from appleshift.sharding.shard_map import ShareMap, pinned
+from appleshift.sharding.shard_reporter import Reporting
+from appleshift.state.cluster_state import Job, Machine, type_fits
+from appleshift.storage.records import Record
 
 LOOK_S = 0.05
 """What is to be said to other shares is looked for so often."""
--- /dev/null
+++ b/appleshift/state/__init__.py
@@ -0,0 +1,1 @@
+"""The in-memory state of one shard: jobs, task attempts, machines and teams."""
--- a/appleshift/bookkeeping/tables.py
+++ b/appleshift/state/cluster_state.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from appleshift.bookkeeping.index import NameIndex
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.users import GANG, RANKS, SERVICE, Submission
+from appleshift.state.name_index import NameIndex
 
 ORDERED, FETCHING, WAITING, RUNNING, SAVING, EXITED = range(6)
 """States of a run. ORDERED: assigned, not yet seen on its machine."""
--- a/appleshift/bookkeeping/store.py
+++ b/appleshift/storage/key_value_store.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from appleshift.bookkeeping.journal import FINAL, LOG, META, SNAP, Meta, final_key, log_key
-from appleshift.bookkeeping.records import Replay
-from appleshift.protocol import state
+from appleshift.protocol import kv
 from appleshift.protocol.wire import ProtocolError, encode, json_size
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import FINAL, LOG, META, SNAP, Meta, final_key, log_key
 from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.routines import RateBudget, Routines
+from appleshift.transport.concurrency import RateBudget, Routines
 
 PAGE_ITEMS = 1000
 """As many as the service puts into an answer. It cuts one short by size, too, so
@@ -62,11 +62,11 @@
             raise StoreError(f"{path}: {status}", refused=False)
         return status, answer
 
-    def get(self, key: str, timeout: float = 1.0) -> state.Item | None:
+    def get(self, key: str, timeout: float = 1.0) -> kv.Item | None:
         status, body = self._call("GET", f"/kv/{key}", None, timeout)
         if status == 404:
             return None
-        item: state.Item = self._decoded(status, body, state.decode_item)
+        item: kv.Item = self._decoded(status, body, kv.decode_item)
         return item
 
     @staticmethod
@@ -78,13 +78,13 @@
         except ProtocolError as error:
             raise StoreError(f"unreadable answer: {error.reason}", refused=False) from None
 
-    def page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> state.Page:
-        status, body = self._call("GET", state.page_path(prefix, after, limit), None, timeout)
-        page: state.Page = self._decoded(status, body, state.decode_page)
+    def page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> kv.Page:
+        status, body = self._call("GET", kv.page_path(prefix, after, limit), None, timeout)
+        page: kv.Page = self._decoded(status, body, kv.decode_page)
         return page
 
-    def everything(self, prefix: str, after: str = "") -> list[state.Item]:
-        items: list[state.Item] = []
+    def everything(self, prefix: str, after: str = "") -> list[kv.Item]:
+        items: list[kv.Item] = []
         while True:
             page = self.page(prefix, after, PAGE_ITEMS)
             items += page.items
@@ -95,17 +95,17 @@
     def txn(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]], timeout: float = 1.0
     ) -> int:
-        status, body = self._call("POST", "/txn", state.txn_body(guards, changes), timeout)
+        status, body = self._call("POST", "/txn", kv.txn_body(guards, changes), timeout)
         if status == 409:
-            raise TxnFailedError(self._decoded(200, body, state.decode_failed))
+            raise TxnFailedError(self._decoded(200, body, kv.decode_failed))
         if status == 400:
             raise LeaseGoneError(repr(body[:200]))
-        revision: int = self._decoded(status, body, state.decode_txn)
+        revision: int = self._decoded(status, body, kv.decode_txn)
         return revision
 
     def grant(self, ttl_s: float, timeout: float = 1.0) -> int:
-        status, body = self._call("POST", "/leases", state.lease_body(ttl_s), timeout)
-        lease: int = self._decoded(status, body, state.decode_lease)
+        status, body = self._call("POST", "/leases", kv.lease_body(ttl_s), timeout)
+        lease: int = self._decoded(status, body, kv.decode_lease)
         return lease
 
     def renew(self, lease: int, timeout: float) -> None:
@@ -123,13 +123,13 @@
             return False
         return status in (200, 204, 404)
 
-    def watch(self, prefix: str, after: int, hold_s: float) -> state.Changes | None:
+    def watch(self, prefix: str, after: int, hold_s: float) -> kv.Changes | None:
         """What changed; None if the history no longer goes back that far."""
-        path = state.watch_path(prefix, after, hold_s)
+        path = kv.watch_path(prefix, after, hold_s)
         status, body = self._call("GET", path, None, hold_s + 2.0)
         if status == 410:
             return None
-        changes: state.Changes = self._decoded(status, body, state.decode_changes)
+        changes: kv.Changes = self._decoded(status, body, kv.decode_changes)
         return changes
 
 
--- a/appleshift/bookkeeping/records.py
+++ b/appleshift/storage/records.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from appleshift.bookkeeping.index import from_ranges, to_ranges
-from appleshift.bookkeeping.tables import CANCELLED, FINISHED, Given, Job, Machine, Tables
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import CANCELLED, FINISHED, Given, Job, Machine, Tables
+from appleshift.state.name_index import from_ranges, to_ranges
 
 Record = list[Any]
 
--- a/appleshift/bookkeeping/journal.py
+++ b/appleshift/storage/write_ahead_log.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from appleshift.protocol import state
+from appleshift.protocol import kv
 from appleshift.protocol.wire import json_size
 
 META = "meta"
@@ -186,7 +186,7 @@
     def __post_init__(self) -> None:
         self._meta_key = self.prefix + META
         guarded = ((self.leader_key, self.leader_version), *self.also_guard)
-        self._guards = [state.guard(key, version) for key, version in guarded]
+        self._guards = [kv.guard(key, version) for key, version in guarded]
         # The limit is the service's, not ours alone: a leader before us may
         # have spent this second's burst.
         self.bucket = Bucket(self.write_rps, self.write_rps * 0.5, self.now)
@@ -278,7 +278,7 @@
                     self._waiting_bytes -= pending.size
             value = {"mark": mark, "records": records}
             key = log_key(self.next_log + len(changes), self.prefix)
-            changes.append(state.put(key, value))
+            changes.append(kv.put(key, value))
             total += size
         first = log_key(self.next_log, self.prefix)
         self._flying = flying
@@ -286,7 +286,7 @@
         self.log_bytes += total
         # The first key must be new: a copy of this transaction that arrives
         # after its twin was applied then fails.
-        guards = [*self._guards, state.guard(first, 0)]
+        guards = [*self._guards, kv.guard(first, 0)]
         self._txn = Txn(guards, changes, first, mark)
         return self._txn
 
@@ -307,7 +307,7 @@
         guards = [*self._guards]
         if chore.probe == self._meta_key:
             # A copy that arrives late must not bring an older snapshot back.
-            guards.append(state.guard(self._meta_key, self.meta_version))
+            guards.append(kv.guard(self._meta_key, self.meta_version))
         self._txn = Txn(guards, chore.changes, chore.probe, chore.mark)
         return self._txn
 
@@ -391,14 +391,14 @@
         ):
             mark = self._mark()
             value = {"mark": mark, "records": page}
-            self._chores.append(_Chore([state.put(key, value)], key, mark))
+            self._chores.append(_Chore([kv.put(key, value)], key, mark))
         new = Meta(generation, len(pages), self.next_log, old.finals + len(final_pages), old.audit)
         if trail_pages:
             following += len(trail_pages)
             first = max(first, following - audit_pages)
             new.audit = (first, following, entries + len(audit))
         mark = self._mark()
-        done = _Chore([state.put(self._meta_key, new.value(mark))], self._meta_key, mark)
+        done = _Chore([kv.put(self._meta_key, new.value(mark))], self._meta_key, mark)
         done.then = lambda: self._adopt(old, new, covered)
         self._chores.append(done)
 
@@ -420,7 +420,7 @@
         self._spent = max([self._spent, *generations])
         for start in range(0, len(keys), self.txn_ops):
             some = keys[start : start + self.txn_ops]
-            self._removals.append(_Chore([state.remove(key) for key in some]))
+            self._removals.append(_Chore([kv.remove(key) for key in some]))
 
     def _pages(self, records: list[Record]) -> list[list[Record]]:
         pages: list[list[Record]] = []
--- a/tests/fuzz_doors.py
+++ b/tests/fuzz_doors.py
@@ -19,8 +19,10 @@
 import msgspec
 
 with atheris.instrument_imports(include=["appleshift"]):
-    from appleshift.protocol import licences, operator, seats, settings, users, wire, workers
-    from appleshift.seats import account as accounts
+    from appleshift.counted_resources import license_reservation as accounts
+    from appleshift.protocol import counted_resources as seats
+    from appleshift.protocol import license_server as licences
+    from appleshift.protocol import operator, settings, users, wire, workers
 
 SERVER = seats.LicenceServer("10.0.0.1:1")
 TEXT = Path(tempfile.mkdtemp()) / "seats.textproto"
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -11,23 +11,26 @@
 
 import msgspec
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.index import from_ranges
-from appleshift.bookkeeping.journal import Journal, Meta, audit_key
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.store import recover
-from appleshift.bookkeeping.tables import Job, Machine, Tables
-from appleshift.coordination.leading.election import Election
-from appleshift.coordination.leading.leadership import Leadership
-from appleshift.protocol import cloud, licences, peers, shares, state, users, workers
+from appleshift.counted_resources.audit_log import Trail
+from appleshift.counted_resources.ledger import Book
+from appleshift.leader_election.election import Election
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.protocol import cloud, peers, users, workers
+from appleshift.protocol import kv as state
+from appleshift.protocol import license_server as licences
+from appleshift.protocol import sharding as shares
+from appleshift.protocol.counted_resources import from_record, to_record
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.seats import from_record, to_record
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.wire import ProtocolError, decode, encode
-from appleshift.seats.book import Book
-from appleshift.seats.trail import Trail
-from appleshift.shares.map import ShareMap, epoch
-from appleshift.transport.routines import Threads
+from appleshift.sharding.shard_map import ShareMap, epoch
+from appleshift.state.cluster_state import Job, Machine, Tables
+from appleshift.state.name_index import from_ranges
+from appleshift.storage import records
+from appleshift.storage.key_value_store import recover
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import Journal, Meta, audit_key
+from appleshift.transport.concurrency import Threads
 
 ZONES = ["a", "b"]
 TEAMS = [
--- a/tests/golden/surface_adapter.py
+++ b/tests/golden/surface_adapter.py
@@ -17,10 +17,11 @@
 
 from appleshift import cli
 from appleshift.node import Node
-from appleshift.protocol import operator, seats
+from appleshift.protocol import counted_resources as seats
+from appleshift.protocol import operator
+from appleshift.protocol.counted_resources import LicenceServer as ServerDefinition
+from appleshift.protocol.counted_resources import SeatDefinition
 from appleshift.protocol.operator import OperatorSettings, load_operator_settings
-from appleshift.protocol.seats import LicenceServer as ServerDefinition
-from appleshift.protocol.seats import SeatDefinition
 from appleshift.protocol.settings import Settings, SettingsError, load_settings
 from appleshift.protocol.wire import decode, encode
 from appleshift.transport.server import Request
--- a/tests/make.py
+++ b/tests/make.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-from appleshift.bookkeeping.tables import UP, Machine, Tables
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.users import Submission
+from appleshift.state.cluster_state import UP, Machine, Tables
 
 KINDS = [
     MachineType("small", 4.0, 16.0, 0.2, 0.05, 10.0, ["a", "b"], cache_gb=20.0),
--- a/tests/measure_seats.py
+++ b/tests/measure_seats.py
@@ -14,14 +14,14 @@
 from dataclasses import replace
 from typing import Any
 
-from appleshift.bookkeeping.tables import RUNNING, UP, Tables
-from appleshift.coordination.placing.placement import Placer
+from appleshift.counted_resources.allocator import Grants
+from appleshift.counted_resources.ledger import Book
+from appleshift.placement.first_fit import Placer
+from appleshift.protocol.counted_resources import LicenceServer as Server
+from appleshift.protocol.counted_resources import SeatDefinition, SeatRules
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.seats import LicenceServer as Server
-from appleshift.protocol.seats import SeatDefinition, SeatRules
 from appleshift.protocol.settings import TeamLimits
-from appleshift.seats.book import Book
-from appleshift.seats.grants import Grants
+from appleshift.state.cluster_state import RUNNING, UP, Tables
 from tests.licences import LicenceServer
 from tests.make import KINDS, job
 from tests.sites import SMALL
--- a/tests/measure_slopes.py
+++ b/tests/measure_slopes.py
@@ -21,14 +21,14 @@
 import msgspec
 from tabulate import tabulate
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.tables import RUNNING, UP, Tables
-from appleshift.coordination.outgoing.effects import Push, Reply
-from appleshift.coordination.placing.placement import Placer
+from appleshift.contracts.actions import Push, Reply
+from appleshift.placement.first_fit import Placer
 from appleshift.protocol import users, workers
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.wire import encode
+from appleshift.state.cluster_state import RUNNING, UP, Tables
+from appleshift.storage import records
+from appleshift.storage.records import Replay
 from tests.make import KINDS, job, submission
 from tests.test_core import Bench
 
--- a/tests/seats_model.py
+++ b/tests/seats_model.py
@@ -14,18 +14,18 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.index import from_ranges
-from appleshift.bookkeeping.journal import Journal, Meta
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination.core import Core
-from appleshift.coordination.outgoing.effects import Delete, Push, Rent, Reply
+from appleshift.contracts.actions import Delete, Push, Rent, Reply
+from appleshift.counted_resources.audit_log import GRANT, Trail
+from appleshift.counted_resources.scheduler_part import SeatsPart, build
+from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, TeamSeats
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.seats import SeatDefinition, SeatRules, TeamSeats
 from appleshift.protocol.workers import Report, TaskReport
-from appleshift.seats.part import SeatsPart, build
-from appleshift.seats.trail import GRANT, Trail
+from appleshift.scheduler.scheduler import Core
+from appleshift.state.cluster_state import Tables
+from appleshift.state.name_index import from_ranges
+from appleshift.storage import records
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import Journal, Meta
 from tests.make import KINDS, submission
 from tests.sites import LEASE_S, SMALL
 from tests.test_core import Always
--- a/tests/shares_model.py
+++ b/tests/shares_model.py
@@ -14,16 +14,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.journal import Journal, Meta
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination.core import Core
-from appleshift.coordination.outgoing.effects import CallShare, Push, Reply
+from appleshift.contracts.actions import CallShare, Push, Reply
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.shares import Epoch
-from appleshift.shares.map import ShareMap
-from appleshift.shares.sharing import Sharing
+from appleshift.protocol.sharding import Epoch
+from appleshift.scheduler.scheduler import Core
+from appleshift.sharding.shard_map import ShareMap
+from appleshift.sharding.sharding import Sharing
+from appleshift.state.cluster_state import Tables
+from appleshift.storage import records
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import Journal, Meta
 from tests.make import KINDS, submission
 from tests.seats_model import Rig
 from tests.sites import SMALL
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,18 +7,18 @@
 import msgspec
 import pytest
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.journal import Journal, Meta
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.tables import UP, Tables
-from appleshift.coordination.core import Core
-from appleshift.coordination.outgoing.effects import Delete, Inspect, Push, Rent, Reply
+from appleshift.contracts.actions import Delete, Inspect, Push, Rent, Reply
+from appleshift.counted_resources.audit_log import Trail
+from appleshift.counted_resources.scheduler_part import build
 from appleshift.protocol.cloud import decode_list
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import MachineLimits, Objective, Settings
 from appleshift.protocol.workers import Glance, Report, TaskReport
-from appleshift.seats.part import build
-from appleshift.seats.trail import Trail
+from appleshift.scheduler.scheduler import Core
+from appleshift.state.cluster_state import UP, Tables
+from appleshift.storage import records
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import Journal, Meta
 from tests.make import KINDS, job, submission, tables
 from tests.make import machine as machine_of
 from tests.sites import CANCEL_S, LEASE_S, SMALL
--- a/tests/test_end_of_a_job.py
+++ b/tests/test_end_of_a_job.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.tables import CANCELLED, OPEN, Job, Tables
-from appleshift.coordination.outgoing.effects import Reply
-from appleshift.coordination.requests import Requests
+from appleshift.contracts.actions import Reply
 from appleshift.protocol import users
 from appleshift.protocol.workers import TaskReport
+from appleshift.scheduler.job_requests import Requests
+from appleshift.state.cluster_state import CANCELLED, OPEN, Job, Tables
+from appleshift.storage import records
 from tests.make import submission
 from tests.test_core import Bench
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from appleshift.coordination.requests import Requests
-from appleshift.coordination.routing.context import CoreAnswer
-from appleshift.coordination.routing.freshness import VALID_FOR, Freshness
+from appleshift.api.context import CoreAnswer
+from appleshift.api.freshness import VALID_FOR, Freshness
+from appleshift.scheduler.job_requests import Requests
 from appleshift.transport.client import Answer
 from appleshift.transport.server import Request, Response
 from tests.overlap import watch
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from appleshift.coordination.leading.election import Election
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.leader_election.election import Election
+from appleshift.leader_election.leader_lease import Leadership
 from appleshift.transport.server import Request
 from tests.faults import store_refuses_leader_then_all
 from tests.overlap import entitled, watch
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from appleshift.intake import routes
+from appleshift.heartbeat_ingest import relay_assignment as routes
 from appleshift.transport.server import Request
 from tests.faults import heal, unleash
 from tests.sites import CROWDED
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -7,14 +7,14 @@
 import msgspec
 import pytest
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.journal import Journal, Meta, log_key
-from appleshift.bookkeeping.records import Replay, live_records
-from appleshift.bookkeeping.store import Store, TxnFailedError, recover
-from appleshift.bookkeeping.tables import CANCELLED, Tables
-from appleshift.protocol import state
+from appleshift.protocol import kv as state
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.wire import json_size
+from appleshift.state.cluster_state import CANCELLED, Tables
+from appleshift.storage import records
+from appleshift.storage.key_value_store import Store, TxnFailedError, recover
+from appleshift.storage.records import Replay, live_records
+from appleshift.storage.write_ahead_log import Journal, Meta, log_key
 from tests import make
 from tests.make import KINDS, submission
 from tests.sim import Sim, SimRoutines
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from appleshift.coordination.leading.election import Election
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.leader_election.election import Election
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.protocol.kv import Item
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.state import Item
-from appleshift.transport.routines import Threads
+from appleshift.transport.concurrency import Threads
 
 P, TTL = 6.0, 2.0
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from appleshift.bookkeeping.tables import Machine
-from appleshift.coordination.fleet.hearing import Hearing
-from appleshift.coordination.outgoing.effects import Delete, Inspect, Reply
-from appleshift.coordination.outgoing.orders import Orders
+from appleshift.contracts.actions import Delete, Inspect, Reply
+from appleshift.dispatch.worker_commands import Orders
+from appleshift.machines.liveness import Hearing
 from appleshift.protocol.workers import Report, TaskReport
+from appleshift.state.cluster_state import Machine
 from tests.faults import heal, isolated_leader, late_reports, late_writes
 from tests.make import machine as machine_of
 from tests.overlap import Day, entitled, play, unfinished, watch
--- a/tests/test_overlap_scenarios.py
+++ b/tests/test_overlap_scenarios.py
@@ -14,17 +14,17 @@
 
 import pytest
 
-from appleshift.bookkeeping import journal
-from appleshift.bookkeeping.journal import Txn
-from appleshift.bookkeeping.records import Replay
-from appleshift.bookkeeping.store import StoreError, TxnFailedError
-from appleshift.bookkeeping.tables import Job
-from appleshift.coordination import events
-from appleshift.coordination.core import Core
-from appleshift.coordination.fleet.health import Health
-from appleshift.coordination.leading.commit import Committer
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.contracts import events
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.leader_election.log_committer import Committer
+from appleshift.machines.health import Health
 from appleshift.protocol.operator import OperatorSettings
+from appleshift.scheduler.scheduler import Core
+from appleshift.state.cluster_state import Job
+from appleshift.storage import write_ahead_log as journal
+from appleshift.storage.key_value_store import StoreError, TxnFailedError
+from appleshift.storage.records import Replay
+from appleshift.storage.write_ahead_log import Txn
 from tests import faults
 from tests.overlap import LARGEST_BEGIN_S, QUIET_S, SHARES, unfinished, watch, watch_waiting
 from tests.sites import CANCEL_S, LARGE, LEASE_S, SMALL, Site
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 
-from appleshift.coordination.pace import Capacity, Load, Pace
-from appleshift.coordination.routing.router import RequestRouter
+from appleshift.api.router import RequestRouter
+from appleshift.node_limits.node_limits import Capacity, Load, Pace
 from appleshift.protocol.settings import MachineLimits
-from appleshift.transport.routines import Threads
+from appleshift.transport.concurrency import Threads
 from appleshift.transport.server import Request
 from tests.make import submission
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from appleshift.bookkeeping.tables import RUNNING, Run, Tables
-from appleshift.coordination.placing.aims import Aims
-from appleshift.coordination.placing.placement import Pass, Placer
+from appleshift.objectives.objectives import Aims
+from appleshift.placement.first_fit import Pass, Placer
 from appleshift.protocol.settings import Objective, TeamLimits
+from appleshift.state.cluster_state import RUNNING, Run, Tables
 from tests.make import job, machine, tables
 
 
--- a/tests/test_placement_equal.py
+++ b/tests/test_placement_equal.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from appleshift.bookkeeping.tables import EXITED, ORDERED, RUNNING, Job, Tables
-from appleshift.coordination.placing.placement import Placer
-from appleshift.coordination.placing.preemption import Preemption
+from appleshift.placement.first_fit import Placer
+from appleshift.placement.preemption import Preemption
 from appleshift.protocol.settings import TeamLimits
+from appleshift.state.cluster_state import EXITED, ORDERED, RUNNING, Job, Tables
 from tests.make import job, tables
 
 
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from appleshift.coordination.leading.election import Election
-from appleshift.reach.duty import Reach
-from appleshift.reach.others import Others, Word
-from appleshift.reach.sight import Seen, Sight
+from appleshift.connectivity.hand_over import Reach
+from appleshift.connectivity.monitor import Seen, Sight
+from appleshift.connectivity.peers import Others, Word
+from appleshift.leader_election.election import Election
 from tests.faults import heal, unleash
 from tests.overlap import entitled, unfinished, watch
 from tests.sites import LARGE, SMALL, Site
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -17,7 +17,7 @@
 import pytest
 
 from appleshift import cli
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.leader_election.leader_lease import Leadership
 from tests.faults import heal, unleash
 from tests.overlap import entitled, unfinished, watch
 from tests.sites import LARGE, SMALL, Site
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from appleshift.coordination.fleet.scaling import (
+from appleshift.provisioning.planner import (
     Market,
     Mixes,
     Plan,
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -10,19 +10,19 @@
 import msgspec
 import pytest
 
-from appleshift.bookkeeping.tables import RUNNING, Job, Tables
-from appleshift.coordination.outgoing.effects import Delete, Push, Reply
-from appleshift.coordination.placing.placement import Pass, Placer
-from appleshift.protocol.licences import Standing
+from appleshift.contracts.actions import Delete, Push, Reply
+from appleshift.counted_resources import display as show
+from appleshift.counted_resources.allocator import KEPT_FOR, PROMISE_S, TURN_S, Grants
+from appleshift.counted_resources.ledger import Book
+from appleshift.counted_resources.license_reservation import Account
+from appleshift.placement.first_fit import Pass, Placer
+from appleshift.protocol.counted_resources import LicenceServer as Server
+from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, TeamSeats
+from appleshift.protocol.license_server import Standing
 from appleshift.protocol.operator import OperatorSettings, load_operator_settings
-from appleshift.protocol.seats import LicenceServer as Server
-from appleshift.protocol.seats import SeatDefinition, SeatRules, TeamSeats
 from appleshift.protocol.settings import SettingsError, TeamLimits, load_settings
 from appleshift.protocol.workers import TaskReport
-from appleshift.seats import show
-from appleshift.seats.account import Account
-from appleshift.seats.book import Book
-from appleshift.seats.grants import KEPT_FOR, PROMISE_S, TURN_S, Grants
+from appleshift.state.cluster_state import RUNNING, Job, Tables
 from tests.make import job, submission, tables
 from tests.sites import LEASE_S
 from tests.test_core import Bench
--- a/tests/test_seats_model.py
+++ b/tests/test_seats_model.py
@@ -8,8 +8,8 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from appleshift.coordination.core import Core
-from appleshift.seats.part import SeatsPart
+from appleshift.counted_resources.scheduler_part import SeatsPart
+from appleshift.scheduler.scheduler import Core
 from tests.seats_model import SeatsMachine
 from tests.test_seats_world import give_at_the_kill_order
 
--- a/tests/test_seats_world.py
+++ b/tests/test_seats_world.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from appleshift.bookkeeping.tables import Tables
-from appleshift.coordination.core import Core
+from appleshift.protocol.counted_resources import LicenceServer as Server
+from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, TeamSeats
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.seats import LicenceServer as Server
-from appleshift.protocol.seats import SeatDefinition, SeatRules, TeamSeats
+from appleshift.scheduler.scheduler import Core
+from appleshift.state.cluster_state import Tables
 from tests.faults import heal, unleash
 from tests.licences import LicenceServer
 from tests.world import LICENCES, World
--- a/tests/test_served.py
+++ b/tests/test_served.py
@@ -6,11 +6,12 @@
 
 import pytest
 
-from appleshift.bookkeeping.tables import CANCELLED, FINISHED
-from appleshift.coordination.placing.aims import Aims
-from appleshift.coordination.serving import Served, served
-from appleshift.coordination.serving.counts import WINDOW_S, Parts
+from appleshift.objectives import achieved as served
+from appleshift.objectives.achieved import Served
+from appleshift.objectives.objectives import Aims
+from appleshift.objectives.sliding_ratio import WINDOW_S, Parts
 from appleshift.protocol.settings import Objective, TeamLimits
+from appleshift.state.cluster_state import CANCELLED, FINISHED
 from tests import make
 from tests.sites import SMALL
 from tests.world import World
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -12,7 +12,7 @@
 
 from appleshift.transport import server
 from appleshift.transport.client import ClientError, HttpClient
-from appleshift.transport.routines import Pool, Threads
+from appleshift.transport.concurrency import Pool, Threads
 from appleshift.transport.server import Listener, Request, Response
 
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,9 +12,9 @@
 
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.shares import Epoch
-from appleshift.shares.assignment import MOVE_GAP_S, SETTLED_S, Controller, Steward, heirs
-from appleshift.shares.map import ShareMap, epoch
+from appleshift.protocol.sharding import Epoch
+from appleshift.sharding.shard_assigner import MOVE_GAP_S, SETTLED_S, Controller, Steward, heirs
+from appleshift.sharding.shard_map import ShareMap, epoch
 from tests.faults import heal, outages, unleash
 from tests.sites import LARGE, SMALL, Site
 from tests.world import Host, World
--- a/tests/test_shares_model.py
+++ b/tests/test_shares_model.py
@@ -10,14 +10,14 @@
 from hypothesis import settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from appleshift.bookkeeping import records
-from appleshift.bookkeeping.tables import CANCELLED, Job, portion_key
-from appleshift.coordination.core import Core
-from appleshift.protocol.shares import Standing
-from appleshift.shares import portions
-from appleshift.shares.handing import Handing
-from appleshift.shares.portions import Portions
-from appleshift.shares.sharing import Sharing
+from appleshift.protocol.sharding import Standing
+from appleshift.scheduler.scheduler import Core
+from appleshift.sharding import array_partitions as portions
+from appleshift.sharding.array_partitions import Portions
+from appleshift.sharding.machine_transfer import Handing
+from appleshift.sharding.sharding import Sharing
+from appleshift.state.cluster_state import CANCELLED, Job, portion_key
+from appleshift.storage import records
 from tests.shares_model import HOME, IDS, OTHER, SharesMachine
 from tests.test_seats_model import FINDS, SAME_EACH_TIME
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from appleshift.bookkeeping.tables import RUNNING, Job
-from appleshift.coordination.placing import turns
-from appleshift.coordination.placing.aims import Aims
-from appleshift.coordination.placing.placement import Placer
+from appleshift.objectives.objectives import Aims
+from appleshift.placement import fair_share as turns
+from appleshift.placement.first_fit import Placer
 from appleshift.protocol.settings import Objective, TeamLimits
+from appleshift.state.cluster_state import RUNNING, Job
 from tests import make
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,10 +9,10 @@
 import msgspec
 import pytest
 
-from appleshift.bookkeeping.store import Store
-from appleshift.coordination import core
-from appleshift.coordination.fleet.fleet import Fleet
-from appleshift.coordination.leading.leadership import Leadership
+from appleshift.leader_election.leader_lease import Leadership
+from appleshift.machines.fleet import Fleet
+from appleshift.scheduler import scheduler as core
+from appleshift.storage.key_value_store import Store
 from appleshift.transport.server import Request
 from tests.faults import heal, outages, unleash
 from tests.overlap import unfinished
--- a/tests/world.py
+++ b/tests/world.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from appleshift.coordination.routing.freshness import VALID_FOR
+from appleshift.api.freshness import VALID_FOR
 from appleshift.node import Node
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.transport.client import Answer, ClientError
