--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -19,7 +19,7 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Report
-from appleshift.state.cluster_state import Machine, Run, Tables
+from appleshift.state.cluster_state import ClusterState, Machine, TaskRun
 from appleshift.storage.records import Record
 from appleshift.storage.write_ahead_log import Journal
 
@@ -48,7 +48,7 @@
     settings: Settings
     operator: OperatorSettings
     authority: Authority
-    tables: Tables
+    cluster: ClusterState
     journal: Journal
     effects: deque[Effect]
     aims: Aims
@@ -70,7 +70,7 @@
 
     def token_for(self, machine: Machine) -> int: ...
 
-    def stop(self, run: Run, grace: float, reason: str) -> None: ...
+    def stop(self, run: TaskRun, grace: float, reason: str) -> None: ...
 
     def stop_gang(self, job: Any, grace: float, reason: str) -> None: ...
 
@@ -174,7 +174,7 @@
     """The fleet, as what looks at it and rents for it sees it."""
 
     core: Term
-    tables: Tables
+    cluster: ClusterState
     operator: OperatorSettings
     shortages: list[Shortage]
     asked: dict[str, tuple[int, int, bool, int]]
--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -17,7 +17,7 @@
 from appleshift.counted_resources.ledger import Book, Promise
 from appleshift.placement.fit import lost_work, stop_grace
 from appleshift.protocol.counted_resources import STOP
-from appleshift.state.cluster_state import EXITED, OPEN, ORDERED, Job, Run
+from appleshift.state.cluster_state import ASSIGNED, EXITED, OPEN, Job, TaskRun
 
 KEPT_FOR = 8
 """So many jobs have seats kept at once; the others stand in line behind them."""
@@ -102,19 +102,19 @@
         """Seats of work that need never end, by resource."""
         lasting: Counter[int] = Counter()
         for job in self._book.holding.values() if self._book.waiting else ():
-            for number, count in job.seats if job.service else ():
+            for number, count in job.counted_needs if job.service else ():
                 lasting[number] += count * len(job.runs)
         return lasting
 
     def _waits(self, index: int) -> Job | None:
-        job = self._book.tables.jobs.get(index)
+        job = self._book.cluster.jobs.get(index)
         return None if job is None or not job.pending or job.status != OPEN else job
 
     @staticmethod
     def _needs(job: Job) -> dict[int, int]:
         """What a start of it takes: a gang's tasks all at once, else one task."""
         tasks = len(job.pending) if job.gang else 1
-        return {number: count * tasks for number, count in job.seats}
+        return {number: count * tasks for number, count in job.counted_needs}
 
     def _yields(self, job: Job, turn: Turn) -> bool:
         """Must this job leave what is kept for that one?"""
@@ -150,7 +150,7 @@
 
     def room(self, job: Job, most: int) -> int:
         self._asked.setdefault(job.index, len(job.runs))
-        for number, count in job.seats:
+        for number, count in job.counted_needs:
             kept, of_team = self._kept(job, number)
             resource = self._book.resources[number]
             free = min(self._left(number) - kept, resource.room(job.team) - of_team)
@@ -163,7 +163,7 @@
         return any(
             any(resources[number].guarantee)
             and resources[number].borrows(job.team, count * tasks) > 0
-            for number, count in job.seats
+            for number, count in job.counted_needs
         )
 
     def unplaced(self, job: Job) -> None:
@@ -190,8 +190,8 @@
 
     # -- whom to stop -----------------------------------------------------------------------
 
-    def surplus(self) -> list[Run]:
-        chosen: list[Run] = []
+    def surplus(self) -> list[TaskRun]:
+        chosen: list[TaskRun] = []
         for number, resource in enumerate(self._book.resources):
             definition = resource.definition
             if definition is None or definition.when_lowered != STOP:
@@ -200,20 +200,20 @@
             for some in self._candidates(number, lambda run: True) if over > 0 else ():
                 if over <= 0:
                     break
-                over -= len(some) * dict(some[0].job.seats)[number]
+                over -= len(some) * dict(some[0].job.counted_needs)[number]
                 chosen += some
                 self._stop(some)
         return chosen
 
-    def short(self, job: Job, tasks: int, urgent: bool) -> list[Run]:
+    def short(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
         self._lacking.add(job.index)
         self._book.ready.pop(job.index, None)
         if not urgent or job.index in self._book.promises or (job.gang and job.runs):
             return []
         resources = self._book.resources
-        most = min(resources[number].room(job.team) // count for number, count in job.seats)
+        most = min(resources[number].room(job.team) // count for number, count in job.counted_needs)
         step = tasks if job.gang else 1
-        chosen: list[Run] = []
+        chosen: list[TaskRun] = []
         # What it is granted in this pass is still to be placed.
         granted = made = len(job.pending) - tasks
         while made + step <= min(granted + tasks, most):
@@ -224,16 +224,16 @@
             chosen += some
             made += step
         if chosen:
-            needs = {number: made * count for number, count in job.seats}
+            needs = {number: made * count for number, count in job.counted_needs}
             grace = max(stop_grace(run) for run in chosen)
             self._book.promises[job.index] = Promise(self._now + grace + PROMISE_S, needs)
         return chosen
 
-    def _room_for(self, job: Job, tasks: int) -> list[Run] | None:
+    def _room_for(self, job: Job, tasks: int) -> list[TaskRun] | None:
         """Just enough holders to stop for so many tasks; None: it can't be."""
-        chosen: list[Run] = []
+        chosen: list[TaskRun] = []
         freed: Counter[int] = Counter()
-        for number, count in job.seats:
+        for number, count in job.counted_needs:
             resource = self._book.resources[number]
             missing = count * tasks - self._open(job, number)
             missing -= self._spare_coming(number) + freed[number]
@@ -242,7 +242,7 @@
             borrows = resource.borrows(job.team, count * tasks) > 0
             borrowers = set() if borrows else self._borrowers(job, number)
 
-            def may(run: Run, borrowers: set[int] = borrowers) -> bool:
+            def may(run: TaskRun, borrowers: set[int] = borrowers) -> bool:
                 return run.job.rank > job.rank or run.job.team in borrowers
 
             owed: Counter[int] = Counter()
@@ -250,7 +250,7 @@
                 if missing <= 0:
                     break
                 victim = some[0].job
-                seats = len(some) * dict(victim.seats)[number]
+                seats = len(some) * dict(victim.counted_needs)[number]
                 if some[0] in chosen:
                     continue
                 if victim.rank <= job.rank or (borrows and resource.guarantee[victim.team]):
@@ -262,7 +262,7 @@
                     owed[victim.team] += seats
                 chosen += some
                 missing -= seats
-                for other, each in victim.seats:
+                for other, each in victim.counted_needs:
                     freed[other] += each * len(some)
             if missing > 0:
                 return None
@@ -274,14 +274,14 @@
         teams = range(len(resource.teams))
         return {team for team in teams if team != job.team and resource.borrows(team) > 0}
 
-    def _candidates(self, number: int, may: Callable[[Run], bool]) -> Iterator[list[Run]]:
+    def _candidates(self, number: int, may: Callable[[TaskRun], bool]) -> Iterator[list[TaskRun]]:
         """Holders that may stop, a gang whole: the least urgent, then what loses least."""
-        groups: list[list[Run]] = []
+        groups: list[list[TaskRun]] = []
         for job, _ in self._book.holders(number):
             runs = [
                 run
                 for run in job.runs.values()
-                if run.grace is None and run.state not in (EXITED, ORDERED) and may(run)
+                if run.stop_grace_s is None and run.state not in (EXITED, ASSIGNED) and may(run)
             ]
             if not job.gang:
                 groups += [[run] for run in runs]
@@ -289,18 +289,18 @@
                 groups.append(runs)
         now = self._now
 
-        def cost(some: list[Run]) -> tuple[int, float]:
+        def cost(some: list[TaskRun]) -> tuple[int, float]:
             return (-some[0].job.rank, sum(lost_work(run, now) for run in some) / len(some))
 
         yield from sorted(groups, key=cost)
 
     # -- what stops already ------------------------------------------------------------------
 
-    def _stop(self, some: list[Run]) -> None:
+    def _stop(self, some: list[TaskRun]) -> None:
         coming = self._all_coming()
         for run in some:
-            run.grace = stop_grace(run)
-            for number, count in run.job.seats:
+            run.stop_grace_s = stop_grace(run)
+            for number, count in run.job.counted_needs:
                 coming[number] += count
 
     def _all_coming(self) -> Counter[int]:
@@ -308,8 +308,8 @@
         if self._coming is None:
             self._coming = Counter()
             for job in self._book.holding.values():
-                stopping = sum(1 for run in job.runs.values() if run.grace is not None)
-                for number, count in job.seats if stopping else ():
+                stopping = sum(1 for run in job.runs.values() if run.stop_grace_s is not None)
+                for number, count in job.counted_needs if stopping else ():
                     self._coming[number] += count * stopping
         return self._coming
 
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -16,7 +16,7 @@
 from appleshift.protocol.counted_resources import SeatDefinition, asked
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
-from appleshift.state.cluster_state import Job, Run, Tables
+from appleshift.state.cluster_state import ClusterState, Job, TaskRun
 from appleshift.state.name_index import NameIndex
 
 
@@ -31,18 +31,22 @@
     __slots__ = ("account", "definition", "guarantee", "held", "most", "name", "teams")
 
     def __init__(
-        self, name: str, definition: SeatDefinition | None, tables: Tables, account: Account | None
+        self,
+        name: str,
+        definition: SeatDefinition | None,
+        cluster: ClusterState,
+        account: Account | None,
     ) -> None:
         self.name = name
         # None: a job names it that was accepted before its definition went.
         self.definition = definition
         self.account = account
         self.held = 0
-        self.teams = [0] * len(tables.teams)
-        self.most = [0] * len(tables.teams)
-        self.guarantee = [0] * len(tables.teams)
+        self.teams = [0] * len(cluster.teams)
+        self.most = [0] * len(cluster.teams)
+        self.guarantee = [0] * len(cluster.teams)
         for team in definition.teams if definition is not None else ():
-            number = tables.team_names.get(team.name)
+            number = cluster.team_names.get(team.name)
             if number >= 0:
                 self.most[number], self.guarantee[number] = team.most, team.guarantee
 
@@ -89,8 +93,8 @@
 class Book:
     """All counted resources, by dense index."""
 
-    def __init__(self, tables: Tables) -> None:
-        self.tables = tables
+    def __init__(self, cluster: ClusterState) -> None:
+        self.cluster = cluster
         self.names = NameIndex()
         self.resources: list[Resource] = []
         # Jobs of which some task holds a seat, and of which some waits for one:
@@ -104,11 +108,11 @@
     def define(self, definition: SeatDefinition, account: Account | None) -> None:
         number = self.names.add(definition.name)
         assert number == len(self.resources), "defined once a term, before jobs are read"
-        self.resources.append(Resource(definition.name, definition, self.tables, account))
+        self.resources.append(Resource(definition.name, definition, self.cluster, account))
 
     # -- bookkeeping.tables.Counted ----------------------------------------------
 
-    def need(self, spec: Submission) -> tuple[tuple[int, int], ...]:
+    def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         try:
             wanted = asked(spec.seats)
         except ProtocolError:
@@ -118,21 +122,21 @@
         for name, count in sorted(wanted.items()):
             number = self.names.add(name)
             if number == len(self.resources):
-                self.resources.append(Resource(name, None, self.tables, None))
+                self.resources.append(Resource(name, None, self.cluster, None))
             needs.append((number, count))
         return tuple(needs)
 
-    def seated(self, spec: Submission) -> int:
+    def max_concurrent_tasks(self, spec: Submission) -> int:
         tasks = spec.tasks
-        for number, count in self.need(spec):
+        for number, count in self.needs_of(spec):
             tasks = min(tasks, self.resources[number].planning() // count)
         return tasks
 
-    def took(self, run: Run) -> None:
+    def assigned(self, run: TaskRun) -> None:
         job = run.job
         self.holding[job.index] = job
         promise = self.promises.get(job.index)
-        for number, count in job.seats:
+        for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held += count
             if promise is not None:
@@ -141,17 +145,17 @@
             if resource.account is not None:
                 resource.account.took(holder_name(run.name, run.attempt), count)
 
-    def gave(self, run: Run) -> None:
+    def freed(self, run: TaskRun) -> None:
         job = run.job
         if not job.runs:
             self.holding.pop(job.index, None)
-        for number, count in job.seats:
+        for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held -= count
             resource.teams[job.team] -= count
             if resource.account is not None:
                 # A start that never left this process left no trace anywhere.
-                started = run.durable or not run.mine
+                started = run.assignment_durable or not run.ordered_this_term
                 resource.account.gave(holder_name(run.name, run.attempt), count, started)
 
     # -- questions -------------------------------------------------------------------
@@ -161,7 +165,7 @@
             wanted = asked(spec.seats)
         except ProtocolError as error:
             return error.status, error.reason
-        team = self.tables.team_names.get(spec.team)
+        team = self.cluster.team_names.get(spec.team)
         tasks = 1 if spec.shape == ARRAY else spec.tasks
         for name, count in wanted.items():
             number = self.names.get(name)
@@ -179,7 +183,7 @@
         """Jobs that hold seats of a resource, and how many."""
         found = []
         for job in self.holding.values():
-            count = dict(job.seats).get(number, 0) * len(job.runs)
+            count = dict(job.counted_needs).get(number, 0) * len(job.runs)
             if count:
                 found.append((job, count))
         return found
@@ -198,15 +202,15 @@
         order = sorted(jobs, key=lambda job: (not job.runs, job.rank, job.submitted))
         for holds_now in (True, False):
             for job in order:
-                if not job.seats:
+                if not job.counted_needs:
                     continue
                 most = len(job.runs) if holds_now else len(job.pending)
-                for number, count in job.seats:
+                for number, count in job.counted_needs:
                     room = min(left[number], team_left[number][job.team])
                     most = most if holds_now else min(most, max(0, room) // count)
                 if job.gang and not holds_now and most < len(job.pending):
                     continue
-                for number, count in job.seats:
+                for number, count in job.counted_needs:
                     left[number] -= most * count
                     team_left[number][job.team] -= most * count
                     used[number] += most * count
@@ -217,11 +221,11 @@
         """One resource, for operators."""
         resource = self.resources[number]
         waiting = sum(
-            len(job.pending) * dict(job.seats).get(number, 0)
+            len(job.pending) * dict(job.counted_needs).get(number, 0)
             for index in self.waiting
-            if (job := self.tables.jobs.get(index)) is not None
+            if (job := self.cluster.jobs.get(index)) is not None
         )
-        names = self.tables.team_names.names
+        names = self.cluster.team_names.names
         holders = [(job.spec.id, names[job.team], count) for job, count in self.holders(number)]
         holders.sort(key=lambda row: (-row[2], row[0]))
         view: dict[str, Any] = {
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -43,7 +43,7 @@
         token: int,
         wall: float,
     ) -> None:
-        super().__init__(replay.tables)
+        super().__init__(replay.cluster)
         self.rules = rules
         self._journal = journal
         self.trail = _trail_of(replay, journal)
@@ -62,10 +62,10 @@
 
     def adopt(self) -> None:
         """Before assignments are recovered: from now on each of them counts."""
-        self.tables.counted = self
-        for job in self.tables.jobs.values():
+        self.cluster.counted_resources = self
+        for job in self.cluster.jobs.values():
             if job.spec.seats is not None:
-                job.seats = self.need(job.spec)
+                job.counted_needs = self.needs_of(job.spec)
 
     def recovered(self) -> None:
         """After that: what the servers may not know to be given back."""
@@ -80,7 +80,7 @@
         return Grants(self, now, self.rules.starve_s)
 
     def caps(self, jobs: Iterable[Job]) -> dict[int, int]:
-        return self.allot([job for job in jobs if job.seats and job.status == OPEN])[0]
+        return self.allot([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
 
     # -- time --------------------------------------------------------------------------
 
@@ -110,8 +110,8 @@
     def _wanted(self) -> Counter[int]:
         """Seats that open jobs could hold, were there enough of them."""
         wanted: Counter[int] = Counter()
-        for job in self.tables.jobs.values():
-            for number, count in job.seats if job.status == OPEN else ():
+        for job in self.cluster.jobs.values():
+            for number, count in job.counted_needs if job.status == OPEN else ():
                 wanted[number] += count * (len(job.runs) + len(job.pending))
         return wanted
 
@@ -175,7 +175,7 @@
     if isinstance(replay.trail, Trail):
         return replay.trail
     trail = Trail(journal.meta.audit[2])
-    for job in replay.tables.jobs.values():
+    for job in replay.cluster.jobs.values():
         if job.spec.seats is not None:
             trail.apply(records.job_record(job))
     for (index, task), (attempt, machine, session) in replay.places.items():
@@ -207,7 +207,7 @@
         return None
     for definition in definitions:
         for team in definition.teams:
-            if replay.tables.team_names.get(team.name) < 0:
+            if replay.cluster.team_names.get(team.name) < 0:
                 log.error("resource %s: no such team: %s", definition.name, team.name)
     part = SeatsPart(definitions, rules, replay, journal, token, wall)
     # Without definitions it has written down that nothing is counted any more.
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -12,7 +12,7 @@
 from appleshift.contracts.interfaces import Term
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Report
-from appleshift.state.cluster_state import EXITED, ORDERED, Machine
+from appleshift.state.cluster_state import ASSIGNED, EXITED, Machine
 
 REORDER_S = 1.0
 """A command without visible effect is pushed again after this long."""
@@ -33,8 +33,8 @@
     def due(self, machine: Machine) -> None:
         """Do not wait for this machine's next report."""
         self._due.add(machine.index)
-        if machine.cell is not None:
-            machine.cell.known = None
+        if machine.fast_path_entry is not None:
+            machine.fast_path_entry.known = None
 
     def answer(self, machine: Machine) -> list[dict[str, Any]]:
         """Commands for the answer to a report: all of them, for the report
@@ -47,11 +47,13 @@
         """Only what has to end, for an answer to a report that may be a copy: nobody may
         read it, so nothing counts as told by it."""
         ending = [
-            workers.stop(run.name, run.attempt, run.grace)
+            workers.stop(run.name, run.attempt, run.stop_grace_s)
             for run in machine.runs.values()
-            if run.grace is not None and run.state not in (ORDERED, EXITED)
+            if run.stop_grace_s is not None and run.state not in (ASSIGNED, EXITED)
+        ]
+        strays = [
+            workers.stop(*key, 0.0) for key, exited in machine.unknown_runs.items() if not exited
         ]
-        strays = [workers.stop(*key, 0.0) for key, exited in machine.strays.items() if not exited]
         return (ending + strays)[:MAX_COMMANDS]
 
     def _commands(
@@ -68,33 +70,36 @@
         for key, run in machine.runs.items():
             if len(commands) >= MAX_COMMANDS:
                 break
-            if run.session != machine.session or not run.durable:
+            if run.agent_epoch != machine.agent_epoch or not run.assignment_durable:
                 continue
             if run.state == EXITED:
-                if run.exit_durable and not run.uncertain:
+                if run.exit_durable and not run.unconfirmed_starts:
                     commands.append(workers.clear(run.name, run.attempt))
                 continue
-            if run.state == ORDERED:
-                if run.grace is not None and not run.mine:
+            if run.state == ASSIGNED:
+                if run.stop_grace_s is not None and not run.ordered_this_term:
                     # An earlier leader's start, perhaps of a job cancelled long
                     # ago: the worker's next reports show it, or that it is void.
                     continue
-                if run.grace is not None and self._core.now - run.stopped_at > cancel_s * 0.5:
+                if (
+                    run.stop_grace_s is not None
+                    and self._core.now - run.stop_ordered_at > cancel_s * 0.5
+                ):
                     # Too late to start anything of a cancelled job: if the
                     # start does not show itself, the machine is given up.
                     continue
-                if again or run.grace is not None or not run.pushed:
+                if again or run.stop_grace_s is not None or not run.start_sent:
                     commands.append(workers.start(run.name, run.attempt))
                     starts.append(key)
-                    run.pushed = run.mine = True
-                if run.grace is not None:
+                    run.start_sent = run.ordered_this_term = True
+                if run.stop_grace_s is not None:
                     # Started and ended at once: the worker then knows the
                     # attempt, and a start still under way does nothing.
                     commands.append(workers.stop(run.name, run.attempt, 0.0))
                 continue
-            if run.grace is not None:
-                commands.append(workers.stop(run.name, run.attempt, run.grace))
-        for (name, attempt), exited in machine.strays.items():
+            if run.stop_grace_s is not None:
+                commands.append(workers.stop(run.name, run.attempt, run.stop_grace_s))
+        for (name, attempt), exited in machine.unknown_runs.items():
             if len(commands) >= MAX_COMMANDS:
                 break
             if exited:
@@ -112,44 +117,49 @@
         report: Report | None,
     ) -> None:
         """What became of a direct command: ``done``, ``refused`` or ``unknown``."""
-        machine = self._core.tables.machine(name)
+        machine = self._core.cluster.machine(name)
         if machine is None:
             return
-        machine.pushing = False
+        machine.commands_in_flight = False
         for key in starts:
             run = machine.runs.get(key)
-            if run is not None and run.session == session:
-                run.uncertain -= outcome != "unknown"
-        if report is not None and report.machine == name and report.session >= machine.session:
+            if run is not None and run.agent_epoch == session:
+                run.unconfirmed_starts -= outcome != "unknown"
+        if report is not None and report.machine == name and report.session >= machine.agent_epoch:
             self._core.observe(machine, report)
         # As good as an unanswered probe, or an answered one.
         self._core.hearing.told(machine, outcome != "unknown")
         if outcome != "done":
-            machine.failed_until = max(machine.failed_until, self._core.now + REORDER_S)
+            machine.avoid_until = max(machine.avoid_until, self._core.now + REORDER_S)
 
     def send(self) -> None:
         """Tell workers at once what their next report would tell them later."""
         if not self._due or not self._core.authority.may_answer(self._core.now):
             return
         for index in list(self._due):
-            machine = self._core.tables.machines.get(index)
-            if machine is None or machine.asked_gone or not machine.addr or not machine.session:
+            machine = self._core.cluster.machines.get(index)
+            if (
+                machine is None
+                or machine.deletion_requested
+                or not machine.addr
+                or not machine.agent_epoch
+            ):
                 self._due.discard(index)
                 continue
-            if machine.pushing:
+            if machine.commands_in_flight:
                 continue
             self._due.discard(index)
             commands, starts = self._commands(machine, again=False)
             if not commands:
                 continue
             for key in starts:
-                machine.runs[key].uncertain += 1
-            machine.pushing = True
+                machine.runs[key].unconfirmed_starts += 1
+            machine.commands_in_flight = True
             self._core.effects.append(
                 Push(
                     machine.name,
                     machine.addr,
-                    machine.session,
+                    machine.agent_epoch,
                     commands,
                     starts,
                     self._core.token_for(machine),
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -50,7 +50,7 @@
     def __init__(self, fleet: Machines) -> None:
         self._fleet = fleet
         self._core = fleet.core
-        self._tables = fleet.tables
+        self._cluster = fleet.cluster
         self._started = fleet.core.now
         # Zones that are cut off, and since when.
         self.dark: dict[int, float] = {}
@@ -68,11 +68,11 @@
         silent_s = max(self._core.operator.silent_s, 2.2 * report_s)
         silent: dict[int, list[Machine]] = {}
         up: dict[int, int] = {}
-        for machine in self._tables.machines.values():
-            if machine.status != UP or machine.asked_gone or machine.foreign:
+        for machine in self._cluster.machines.values():
+            if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_heard <= new_s and not machine.deaf_since:
+            if now - machine.last_heard <= new_s and not machine.commands_lost_since:
                 # Nearly all of them, several times a second.
                 continue
             known = machine.last_heard >= self._started
@@ -85,7 +85,7 @@
         for zone, machines in silent.items():
             if len(machines) >= DARK_LEAST and len(machines) * 2 > up[zone]:
                 suspect.add(zone)
-            mute = sum(1 for machine in machines if machine.probe > 0)
+            mute = sum(1 for machine in machines if machine.unanswered_probes > 0)
             least = 1 if zone in self.dark else DARK_LEAST
             # Probing all of a large zone would take seconds: some are enough.
             asked = min(DARK_MUTE, len(machines) // 2 + 1)
@@ -112,18 +112,18 @@
                     self._fleet.give_up(machine, f"silent for {quiet:.1f} s")
                 elif (
                     machine.addr
-                    and not machine.probing
+                    and not machine.probe_in_flight
                     and inspections > 0
                     and (probes > 0 or serves(machine))
                 ):
                     probes -= 1
                     inspections -= 1
-                    machine.probing = True
+                    machine.probe_in_flight = True
                     self._core.effects.append(Inspect(machine.name, machine.addr))
 
     def _quiet_s(self, machine: Machine, now: float) -> float:
         """For how long a machine could have been heard, or shown that it hears, and did not."""
-        sign = min(machine.deaf_since or machine.last_heard, machine.last_heard)
+        sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
         since = max(sign, self._started, self._back.get(machine.zone, 0.0))
         return now - since
 
@@ -141,15 +141,15 @@
         since = self.dark.get(zone)
         if since is None or self._core.now - since < TRY_S:
             return False
-        machines = self._tables.machines.values()
-        return not any(each.zone == zone and not each.asked_gone for each in machines)
+        machines = self._cluster.machines.values()
+        return not any(each.zone == zone and not each.deletion_requested for each in machines)
 
     def _mark_dark(self, zones: set[int], now: float, heard: bool) -> None:
         for zone in zones - self.dark.keys():
-            log.info("zone %s is cut off", self._tables.zones.names[zone])
+            log.info("zone %s is cut off", self._cluster.zones.names[zone])
             self.dark[zone] = now
         for zone in self.dark.keys() - zones:
-            log.info("zone %s is back", self._tables.zones.names[zone])
+            log.info("zone %s is back", self._cluster.zones.names[zone])
             del self.dark[zone]
             self._core.dirty = True
             # Most of it is heard; the rest gets its time to be, as after a
@@ -158,9 +158,9 @@
             if not heard:
                 continue
             self._back[zone] = now
-            for machine in self._tables.machines.values():
+            for machine in self._cluster.machines.values():
                 if machine.zone == zone:
-                    machine.probe = 0
+                    machine.unanswered_probes = 0
 
     def _is_lost(self, machine: Machine, quiet: float, silent_s: float, now: float) -> bool:
         """Is its deletion, which proves its tasks gone, better than waiting?"""
@@ -173,8 +173,8 @@
         probes = 2 if machine.last_heard >= self._started else 3
         if machine.zone in self.dark:
             # Its whole zone is as silent as it is.
-            return machine.probe > 0 and self._frees_more_than_it_costs(machine)
-        if quiet > silent_s and machine.probe >= probes:
+            return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
+        if quiet > silent_s and machine.unanswered_probes >= probes:
             return True
         return quiet > self._core.worker_lease_s + silent_s and machine.empty()
 
@@ -197,7 +197,7 @@
         """The share of a job's replicas in a zone that may start in others."""
         if job.zone == zone:
             return 0.0
-        rooms = zone_room(self._tables, job)
+        rooms = zone_room(self._cluster, job)
         if rooms is None:
             return 1.0
         here = sum(run.machine.zone == zone for run in job.runs.values())
@@ -209,44 +209,44 @@
         return min(1.0, room / max(1, here))
 
     def probed(self, name: str, answered: bool) -> None:
-        machine = self._tables.machine(name)
+        machine = self._cluster.machine(name)
         if machine is not None:
-            machine.probing = False
+            machine.probe_in_flight = False
             self._core.hearing.told(machine, answered)
 
     def task_failed(self, machine: Machine, job: Job) -> None:
         """Tell a faulty machine from a faulty job by who else failed where."""
         now = self._core.now
-        job.errors_on.add(machine.index)
-        job.avoid[machine.index] = now + AVOID_S
-        machine.failed_until = now + PAUSE_S
-        if len(job.errors_on) >= 2 and not job.done_count:
+        job.failed_machines.add(machine.index)
+        job.avoided_machines[machine.index] = now + AVOID_S
+        machine.avoid_until = now + PAUSE_S
+        if len(job.failed_machines) >= 2 and not job.done_count:
             # It failed on several machines: the job is to blame, not they.
             job.backoff_s = min(MAX_BACKOFF_S, max(1.0, job.backoff_s * 2))
             job.not_before = now + job.backoff_s
-            for other in self._tables.machines.values():
-                other.errors.pop(job.index, None)
+            for other in self._cluster.machines.values():
+                other.job_errors.pop(job.index, None)
             return
-        machine.errors[job.index] = now
-        recent = [at for at in machine.errors.values() if at > now - ERROR_WINDOW_S]
-        if len(recent) >= self._core.operator.sick_jobs and not machine.sick:
+        machine.job_errors[job.index] = now
+        recent = [at for at in machine.job_errors.values() if at > now - ERROR_WINDOW_S]
+        if len(recent) >= self._core.operator.sick_jobs and not machine.quarantined:
             log.info("machine %s fails tasks of several jobs: set aside", machine.name)
-            machine.sick = True
+            machine.quarantined = True
             self._core.dirty = True
 
     def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
         """Tell a slow machine from long work: by the same job's tasks elsewhere."""
-        if job.ran_count >= SLOW_PEERS and not machine.sick:
-            ratio = min(10.0, seconds * job.ran_count / max(job.ran_s, 1e-3))
+        if job.completed_runs >= SLOW_PEERS and not machine.quarantined:
+            ratio = min(10.0, seconds * job.completed_runs / max(job.completed_run_s, 1e-3))
             machine.slowness += (ratio - machine.slowness) * SLOW_WEIGHT
             machine.slow_count += 1
             if machine.slow_count >= SLOW_TASKS and machine.slowness > SLOW_RATIO:
                 log.info("machine %s is %.1f times slower", machine.name, machine.slowness)
-                machine.sick = True
+                machine.quarantined = True
                 self._core.dirty = True
                 return
-        job.ran_s += seconds
-        job.ran_count += 1
+        job.completed_run_s += seconds
+        job.completed_runs += 1
 
 
 def serves(machine: Machine) -> bool:
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -39,55 +39,61 @@
         # With its session: an answer to a question may have told of a new one before, in
         # which numbers begin anew. What was renewed there once counted as copies.
         number = (report.session, report.seq)
-        if number <= machine.beat:
+        if number <= machine.last_heartbeat:
             return False
         now = self._core.now
-        if machine.beat_at > -math.inf:
-            hears = now - machine.beat_at < ANSWER_S
+        if machine.last_heartbeat_at > -math.inf:
+            hears = now - machine.last_heartbeat_at < ANSWER_S
         else:
             # Those that a leader before us knew heard it. A new one shows it first.
             hears = machine.status == UP
         self._beat(machine, now, hears)
-        machine.beat = number
-        machine.mute = False
-        if not hears and report.addr and not machine.probing:
-            machine.probing = True
+        machine.last_heartbeat = number
+        machine.heartbeats_lost = False
+        if not hears and report.addr and not machine.probe_in_flight:
+            machine.probe_in_flight = True
             self._core.effects.append(Inspect(machine.name, report.addr))
         return True
 
     @staticmethod
     def _beat(machine: Machine, at: float, hears: bool) -> None:
-        machine.beat_at = at
+        machine.last_heartbeat_at = at
         if hears:
-            machine.deaf_since = machine.deaf_beats = machine.probe = 0
+            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+                machine.unanswered_probes
+            ) = 0
             return
-        machine.deaf_beats += 1
-        if machine.deaf_beats == 1:
+        machine.heartbeats_since_unreachable += 1
+        if machine.heartbeats_since_unreachable == 1:
             # What it did not answer while nothing came from it says nothing of now.
-            machine.deaf_since, machine.probe = at, 0
+            machine.commands_lost_since, machine.unanswered_probes = at, 0
 
     def caught_up(self, machine: Machine) -> None:
         """Take in what reports that said nothing new have left."""
-        cell = machine.cell
+        cell = machine.fast_path_entry
         if cell is not None:
             at, session, seq, hears = cell.heard
             # Whatever else was heard meanwhile: the answer to a direct command is later,
             # but renews no lease. When only later times counted, leases that had been
             # renewed here were taken for over, and eight tasks ran twice on one day.
             machine.lease_until = max(machine.lease_until, at + self._core.worker_lease_s)
-            if at > machine.beat_at:
+            if at > machine.last_heartbeat_at:
                 self._beat(machine, at, hears)
                 machine.last_heard = max(machine.last_heard, at)
-            if session == machine.session:
+            if session == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
-            machine.beat = max(machine.beat, (session, seq))
+            machine.last_heartbeat = max(machine.last_heartbeat, (session, seq))
         # One whose reports are lost may answer, but its lease will be over.
-        machine.mute = self._core.now - max(machine.beat_at, self._started) > self._mute_s
+        machine.heartbeats_lost = (
+            self._core.now - max(machine.last_heartbeat_at, self._started) > self._mute_s
+        )
 
     def told(self, machine: Machine, reached: bool) -> None:
         """A direct command or question was answered, or was not."""
         if reached:
-            machine.deaf_since = machine.deaf_beats = machine.probe = 0
+            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+                machine.unanswered_probes
+            ) = 0
         else:
-            machine.probe += 1
-            machine.deaf_since = machine.deaf_since or self._core.now
+            machine.unanswered_probes += 1
+            machine.commands_lost_since = machine.commands_lost_since or self._core.now
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -307,10 +307,10 @@
         if now < self._next_sample:
             return
         self._next_sample = now + SAMPLE_GAP_S
-        if not core.tables.machines:
+        if not core.cluster.machines:
             self.reach.sight.forget()
         by_zone: dict[int, list[str]] = {}
-        for machine in core.tables.machines.values():
+        for machine in core.cluster.machines.values():
             some = by_zone.setdefault(machine.zone, [])
             if machine.addr and now - machine.last_heard < SAMPLE_GAP_S and len(some) < SAMPLE:
                 some.append(machine.addr)
@@ -332,7 +332,7 @@
             return
         core.fleet.hear(relay_assignment.audible(places, relays))
         share = relay_assignment.share(
-            len(core.tables.machines), places, relays, self.election.share_sent
+            len(core.cluster.machines), places, relays, self.election.share_sent
         )
         if share != self.election.share_sent:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
--- a/appleshift/objectives/achieved.py
+++ b/appleshift/objectives/achieved.py
@@ -21,7 +21,7 @@
 
 from appleshift.objectives.objectives import Aims, Due
 from appleshift.objectives.sliding_ratio import Parts
-from appleshift.state.cluster_state import CANCELLED, FINISHED, Job, Tables
+from appleshift.state.cluster_state import CANCELLED, FINISHED, ClusterState, Job
 
 log = logging.getLogger(__name__)
 
@@ -54,8 +54,8 @@
 class Served:
     """Of one term of a share; the core's routine asks and writes it."""
 
-    def __init__(self, tables: Tables, aims: Aims, now: float, wall: float) -> None:
-        self._tables = tables
+    def __init__(self, cluster: ClusterState, aims: Aims, now: float, wall: float) -> None:
+        self._cluster = cluster
         self._aims = aims
         self._next_look = now
         self._next_say = now + SAY_S
@@ -70,7 +70,7 @@
             return
         self._next_look = now + LOOK_S
         self._parts.turn(now)
-        jobs = self._tables.jobs
+        jobs = self._cluster.jobs
         for index, job in jobs.items():
             seen = self._seen.get(index)
             if seen is None:
@@ -88,7 +88,7 @@
 
     def _take_in(self, job: Job) -> _Seen:
         seen = _Seen(job, self._aims.due(job, START_S))
-        if job.submitted < self._began and job.attempt > 0:
+        if job.submitted < self._began and job.last_attempt > 0:
             # It started in an earlier term, and nobody here knows when.
             seen.started = True
             seen.open = [due for due in seen.open if not due.started]
@@ -96,7 +96,7 @@
 
     def _look(self, seen: _Seen, now: float, wall: float) -> None:
         job = seen.job
-        if not seen.started and job.attempt > 0:
+        if not seen.started and job.last_attempt > 0:
             since = [run.running_since for run in job.runs.values() if run.running_since]
             if since or job.done_count:
                 seen.started = True
@@ -143,7 +143,7 @@
         parts = {key[1]: part for key, (part, _) in self.parts().items() if key[0] == "team"}
         best = max(parts.values(), default=0.0)
         behind = self._aims.behind
-        for number, team in enumerate(self._tables.teams):
+        for number, team in enumerate(self._cluster.teams):
             name = team.limits.name
             part = parts.get(name, 1.0)
             if number in behind and (part > AHEAD or part > best - (AHEAD - BEHIND) / 2):
--- a/appleshift/objectives/objectives.py
+++ b/appleshift/objectives/objectives.py
@@ -75,7 +75,7 @@
         moments; stopping a task for it at once wastes what that one has done.
         A replica that was lost is missed now, and waits for nothing.
         """
-        if job.service and job.attempt > 0:
+        if job.service and job.last_attempt > 0:
             return 0.0
         within = self.wait_s(job.spec.job_class)
         if within is None:
@@ -130,7 +130,7 @@
         """
         name, due = job.spec.job_class, job.spec.deadline_s
         missed = sum(1 for within in self._ends.get(name, ()) if end - job.submitted > within)
-        if job.attempt == 0:
+        if job.last_attempt == 0:
             missed += sum(1 for within in self._waits.get(name, ()) if now - job.submitted > within)
         if due is not None:
             times = self._times.get(name) or [1.0]
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -5,23 +5,23 @@
 from appleshift.placement.counted_resources import Seats
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import Tables, type_fits
+from appleshift.state.cluster_state import ClusterState, type_fits
 
 
-def refusal(tables: Tables, spec: Submission, seats: Seats | None) -> tuple[int, str] | None:
+def refusal(cluster: ClusterState, spec: Submission, seats: Seats | None) -> tuple[int, str] | None:
     """Why a submission can never run (422), is malformed (400), or cannot be
     judged yet (503); None: it can be taken."""
-    if not tables.types:
+    if not cluster.types:
         return 503, "machine types are not known yet"
-    team = tables.team_names.get(spec.team)
+    team = cluster.team_names.get(spec.team)
     if team < 0:
         return 422, "unknown team"
-    allowed = [kind for kind in tables.types if spec.types is None or kind.name in spec.types]
+    allowed = [kind for kind in cluster.types if spec.types is None or kind.name in spec.types]
     if spec.zone is not None:
         allowed = [kind for kind in allowed if spec.zone in kind.zones]
     if not any(type_fits(kind, spec) for kind in allowed):
         return 422, "a task fits no allowed machine type"
     tasks = 1 if spec.shape == users.ARRAY else spec.tasks
-    if not tables.teams[team].ever_fits(spec.cpus * tasks, spec.gpus * tasks):
+    if not cluster.teams[team].can_ever_fit(spec.cpus * tasks, spec.gpus * tasks):
         return 422, "more than the team's limit"
     return None if seats is None else seats.refusal(spec)
--- a/appleshift/placement/counted_resources.py
+++ b/appleshift/placement/counted_resources.py
@@ -9,14 +9,14 @@
 from typing import Any, Protocol
 
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import Counted, Job, Run
+from appleshift.state.cluster_state import CountedResourceTracker, Job, TaskRun
 from appleshift.storage.records import Record
 
 
 class SeatPass(Protocol):
     """Seats in one placement pass."""
 
-    def surplus(self) -> list[Run]:
+    def surplus(self) -> list[TaskRun]:
         """Whom a lowered total stops; their grace is set."""
         ...
 
@@ -28,7 +28,7 @@
         """How many of a job's tasks may hold what they need now, ``most`` at most."""
         ...
 
-    def short(self, job: Job, tasks: int, urgent: bool) -> list[Run]:
+    def short(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
         """So many tasks wait for seats; ``urgent``: whom to stop for them."""
         ...
 
@@ -41,7 +41,7 @@
         ...
 
 
-class Seats(Counted, Protocol):
+class Seats(CountedResourceTracker, Protocol):
     """Part of the core: everything counted, for one term."""
 
     def adopt(self) -> None:
--- a/appleshift/placement/fair_share.py
+++ b/appleshift/placement/fair_share.py
@@ -19,7 +19,7 @@
 from typing import Protocol
 
 from appleshift.objectives.recent_demand import Spare
-from appleshift.state.cluster_state import OPEN, Job, Machine, Tables
+from appleshift.state.cluster_state import OPEN, ClusterState, Job, Machine
 
 FOOT_S = 60.0
 """An array of which nothing began by then gets a place for a task."""
@@ -55,7 +55,7 @@
 
 def turns(
     order: Sequence[Job],
-    tables: Tables,
+    cluster: ClusterState,
     pools: Mapping[tuple[int, int, bool], Sequence[Machine]],
     aims: Guests,
     now: float,
@@ -63,13 +63,13 @@
 ) -> Iterable[Turn]:
     """The turns of one pass over jobs that are in the order of urgency."""
     cpus = sum(
-        len(machines) * tables.types[kind].cpus
+        len(machines) * cluster.types[kind].cpus
         for (kind, _, _), machines in pools.items()
-        if tables.types[kind].gpus <= 0
+        if cluster.types[kind].gpus <= 0
     )
     guests = [job for job in order if aims.guest(job)]
     if aims.spare.due(now):
-        aims.spare.note(now, min(cpus, _needed(tables.jobs.values(), aims)))
+        aims.spare.note(now, min(cpus, _needed(cluster.jobs.values(), aims)))
     early = [
         (job.rank if wall - job.submitted < URGENT_S else min(job.rank, 1), job, most)
         for job, most in _early(order, guests, cpus, wall)
@@ -82,7 +82,7 @@
             rank, early_job, most = early[position]
             yield Turn(early_job, most, rank)
             position += 1
-        if job.gang or job.service or not aims.guest(job) or tables.expected_s(job) <= LONG_S:
+        if job.gang or job.service or not aims.guest(job) or cluster.expected_run_s(job) <= LONG_S:
             yield Turn(job)
             continue
         most = min(len(job.pending), int(max(0.0, allowed) / max(0.01, job.spec.cpus)))
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -14,7 +14,7 @@
 from appleshift.placement.fair_share import turns
 from appleshift.placement.fit import Failures, ends_anywhere, how_many, zone_room
 from appleshift.placement.preemption import Preemption
-from appleshift.state.cluster_state import EPSILON, OPEN, Job, Machine, Run, Tables
+from appleshift.state.cluster_state import EPSILON, OPEN, ClusterState, Job, Machine, TaskRun
 
 SLOW_FETCH = 4 / 3
 """Machines fetch images at their rate, give or take a third."""
@@ -46,7 +46,7 @@
 class Pass:
     placements: list[Placement] = field(default_factory=list)
     shortages: list[Shortage] = field(default_factory=list)
-    victims: list[Run] = field(default_factory=list)
+    victims: list[TaskRun] = field(default_factory=list)
     held: int = 0
     """Replicas for which room is being made on a machine with their image."""
 
@@ -56,25 +56,25 @@
 
     def __init__(
         self,
-        tables: Tables,
+        cluster: ClusterState,
         now: float,
         wall: float,
         heard_after: float,
         aims: Aims | None = None,
         seats: SeatPass | None = None,
     ) -> None:
-        self.tables = tables
+        self.cluster = cluster
         self.seats = seats
         self.aims = aims or Aims()
         self.now = now
         self.wall = wall
         # Usable machines by (type, zone, spot); a job may use whole such pools.
         self.pools: dict[tuple[int, int, bool], list[Machine]] = {}
-        for machine in tables.machines.values():
+        for machine in cluster.machines.values():
             if (
                 machine.last_heard >= heard_after
-                and machine.failed_until <= now
-                and machine.usable()
+                and machine.avoid_until <= now
+                and machine.schedulable()
             ):
                 key = (machine.type, machine.zone, machine.spot)
                 pool = self.pools.get(key)
@@ -101,7 +101,7 @@
         """Open jobs with pending tasks, most urgent first."""
         jobs = [
             job
-            for job in self.tables.jobs.values()
+            for job in self.cluster.jobs.values()
             if job.pending and job.status == OPEN and job.accepted and job.not_before <= self.now
         ]
         self._gang_tasks = sum(
@@ -120,12 +120,12 @@
         """
         spec = job.spec
         borrowed = spec.gpus > 0 and not self.within_guarantee(job)
-        if job.seats and self.seats is not None:
+        if job.counted_needs and self.seats is not None:
             borrowed = borrowed or self.seats.borrowed(job)
         if job.service:
             usual = job.team not in self.aims.behind
             return (job.rank, borrowed, False, usual, 0, 0.0, job.submitted)
-        work = len(job.pending) * self.tables.expected_s(job) * max(spec.cpus, spec.gpus)
+        work = len(job.pending) * self.cluster.expected_run_s(job) * max(spec.cpus, spec.gpus)
         late = self.late(job)
         usual = late > 0 or job.team not in self.aims.behind
         if job.gang and self._gathers(job):
@@ -154,12 +154,12 @@
             return 0
         late = self._late.get(job.index)
         if late is None:
-            end = self.wall + self.tables.expected_s(job)
+            end = self.wall + self.cluster.expected_run_s(job)
             late = self._late[job.index] = self.aims.missed(job, self.wall, end)
         return late
 
     def within_guarantee(self, job: Job) -> bool:
-        team = self.tables.teams[job.team]
+        team = self.cluster.teams[job.team]
         spec = job.spec
         tasks = 1 if not job.gang else spec.tasks
         gpus_ok = team.gpus + spec.gpus * tasks <= team.limits.gpus + EPSILON
@@ -172,7 +172,7 @@
         """Jobs with the same key may use the same machines."""
         spec = job.spec
         cards = spec.gpus > 0 or spec.types is not None
-        return (tuple(self.tables.types_for(job)), job.zone, spec.spot, cards)
+        return (tuple(self.cluster.eligible_types(job)), job.zone, spec.spot, cards)
 
     def allowed(self, job: Job, cards: bool = False) -> Iterator[Machine]:
         """Machines that the job may use, whether they have room or not.
@@ -181,7 +181,7 @@
         machines with cards only if it asks for the type, or with ``cards``.
         """
         spec = job.spec
-        type_ok = self.tables.types_for(job)
+        type_ok = self.cluster.eligible_types(job)
         for (kind, zone, spot), machines in self.pools.items():
             if not type_ok[kind] or (spot and not spec.spot):
                 continue
@@ -190,11 +190,14 @@
             if (
                 spec.gpus <= 0
                 and spec.types is None
-                and cards != (self.tables.types[kind].gpus > 0)
+                and cards != (self.cluster.types[kind].gpus > 0)
             ):
                 continue
             for machine in machines:
-                if not job.avoid or job.avoid.get(machine.index, 0.0) <= self.now:
+                if (
+                    not job.avoided_machines
+                    or job.avoided_machines.get(machine.index, 0.0) <= self.now
+                ):
                     yield machine
 
     def first_fit(self, job: Job, machines: list[Machine]) -> list[Machine]:
@@ -203,7 +206,7 @@
         Of machines without the image, those that fetch fastest come first: a
         replica that has to move is missed until it has its image again.
         """
-        types = self.tables.types
+        types = self.cluster.types
 
         def key(machine: Machine) -> tuple[bool, bool, bool, float, int]:
             kind = types[machine.type]
@@ -240,7 +243,7 @@
         if self.seats is not None:
             self.result.victims += self.seats.surplus()
         order = self.order()
-        for turn in turns(order, self.tables, self.pools, self.aims, self.now, self.wall):
+        for turn in turns(order, self.cluster, self.pools, self.aims, self.now, self.wall):
             job = turn.job
             # What is placed before more urgent work must not be stopped for it, or both
             # take each other's room in every pass and neither ever runs.
@@ -261,7 +264,7 @@
         is emptied. Only what they are owed of seats may be stopped.
         """
         waiting = len(job.pending)
-        if not job.seats or self.seats is None:
+        if not job.counted_needs or self.seats is None:
             return waiting
         room = self.seats.room(job, waiting)
         if room < waiting:
@@ -271,7 +274,7 @@
 
     def _assign(self, job: Job, machine: Machine, attempt: int, tasks: list[int]) -> None:
         for task in tasks:
-            run = self.tables.assign(job, task, attempt, machine, machine.session)
+            run = self.cluster.assign(job, task, attempt, machine, machine.agent_epoch)
             run.rank = job.rank if self._rank is None else min(job.rank, self._rank)
         self.preemption.placed(job, machine, len(tasks))
         if self._beside is not None and machine.index in self._beside and job.spec.gpus <= 0:
@@ -286,8 +289,8 @@
         """Place what fits of an array or a service, up to ``most`` tasks if that is given;
         returns what does not."""
         spec = job.spec
-        team = self.tables.teams[job.team]
-        if not team.room_for(spec.cpus, spec.gpus):
+        team = self.cluster.teams[job.team]
+        if not team.within_limits(spec.cpus, spec.gpus):
             # What ends will make room within the limit; no machine could.
             return 0
         seated = self._seated(job)
@@ -297,7 +300,7 @@
             return 0
         hopeless = self.hopeless(job)
         machines = [] if hopeless else self.candidates(job)
-        if not machines and not hopeless and not job.avoid:
+        if not machines and not hopeless and not job.avoided_machines:
             self._no_room.add(self.place_key(job), spec)
         beside = self._beside_cards(job)
         if not machines and not beside:
@@ -317,12 +320,12 @@
         if position < len(waiting) and beside:
             position += self._round(job, beside, waiting[position:], self._room_beside)
         missing = len(waiting) - position
-        if missing and not team.room_for(spec.cpus, spec.gpus):
+        if missing and not team.within_limits(spec.cpus, spec.gpus):
             return 0
         return missing if position or not missing else self._unplaced(job, missing)
 
     def _unplaced(self, job: Job, tasks: int) -> int:
-        if job.seats and self.seats is not None:
+        if job.counted_needs and self.seats is not None:
             self.seats.unplaced(job)
         return tasks
 
@@ -341,7 +344,7 @@
         within = self.aims.wait_s(job.spec.job_class)
         if within is None or job.image in machine.images:
             return True
-        speed = self.tables.types[machine.type].fetch_gb_per_s
+        speed = self.cluster.types[machine.type].fetch_gb_per_s
         return speed > 0 and job.spec.image_gb * SLOW_FETCH <= within * speed
 
     def _hold(self, job: Job, missing: int) -> int:
@@ -351,9 +354,12 @@
         replica is missed. Returns for how many replicas room is being made;
         they wait for it in this pass, though not for long.
         """
-        if job.held_since == 0.0 or self.now - job.held_since > HOLD_AGAIN_S:
-            job.held_since = self.now
-        if self.now - job.held_since > HOLD_S:
+        if (
+            job.waiting_for_image_since == 0.0
+            or self.now - job.waiting_for_image_since > HOLD_AGAIN_S
+        ):
+            job.waiting_for_image_since = self.now
+        if self.now - job.waiting_for_image_since > HOLD_S:
             return 0
         machines = [each for each in self.allowed(job) if job.image in each.images]
         made, victims = self.preemption.make_room_on(job, machines, missing)
@@ -365,7 +371,7 @@
         """Machines whose cards are in use and leave room that no cards will need, and spot
         machines whose cards nobody may use."""
         spec = job.spec
-        if not ends_anywhere(job) or self.tables.card_needs is None:
+        if not ends_anywhere(job) or self.cluster.needs_per_gpu is None:
             return []
         if self._beside is None:
             self._beside = self._left_beside()
@@ -377,7 +383,7 @@
             for machine in self.allowed(job, cards=True)
             if machine.index in self._beside and self._room_beside(machine, job) > 0
         ]
-        if not found and not job.avoid:
+        if not found and not job.avoided_machines:
             self._none_beside.add(key, spec)
         return self.first_fit(job, found)
 
@@ -385,11 +391,11 @@
         """CPUs and memory left beside cards, by machine, where any are left."""
         left = {}
         for (kind, _, _), machines in self.pools.items():
-            spec = self.tables.types[kind]
+            spec = self.cluster.types[kind]
             if spec.gpus <= 0:
                 continue
-            most = self.tables.beside_cards(kind)
-            unclaimed = self.tables.spot_cards_unclaimed()
+            most = self.cluster.left_beside_gpus(kind)
+            unclaimed = self.cluster.spot_gpus_unclaimed()
             for machine in machines:
                 if machine.spot and unclaimed:
                     left[machine.index] = (machine.free_cpus, machine.free_memory)
@@ -421,10 +427,10 @@
     ) -> int:
         """Go over the machines once; returns how many tasks found room."""
         spec = job.spec
-        team = self.tables.teams[job.team]
-        rooms = zone_room(self.tables, job)
+        team = self.cluster.teams[job.team]
+        rooms = zone_room(self.cluster, job)
         zone = next((run.machine.zone for run in job.runs.values()), -1) if spec.together else -1
-        attempt = job.attempt + 1
+        attempt = job.last_attempt + 1
         if rooms is not None:
             # The emptiest zone first, so that the loss of one costs least.
             counts = rooms.copy()
@@ -444,7 +450,7 @@
             tasks: list[int] = []
             while len(tasks) < most and position < len(waiting):
                 count = len(tasks) + 1
-                if not team.room_for(spec.cpus * count, spec.gpus * count):
+                if not team.within_limits(spec.cpus * count, spec.gpus * count):
                     break
                 tasks.append(waiting[position])
                 position += 1
@@ -458,14 +464,14 @@
     def _place_gang(self, job: Job) -> int:
         """Place a whole gang or nothing of it."""
         spec = job.spec
-        team = self.tables.teams[job.team]
+        team = self.cluster.teams[job.team]
         if job.runs or len(job.pending) < spec.tasks - job.done_count:
             # Tasks of the old attempt may still be on their machines.
             return 0
         left = len(job.pending)
         if job.team in self._saving:
             return 0
-        if not team.room_for(spec.cpus * left, spec.gpus * left):
+        if not team.within_limits(spec.cpus * left, spec.gpus * left):
             if self._age(job) >= GATHER_AT_LAST_S:
                 # What falls free of the limit goes to it, not to smaller ones that come.
                 self._saving.add(job.team)
@@ -475,13 +481,13 @@
         if self.hopeless(job):
             return self._unplaced(job, left)
         machines = self.candidates(job)
-        if not machines and not job.avoid:
+        if not machines and not job.avoided_machines:
             self._no_room.add(self.place_key(job), spec)
         for some in self._by_zone(job, machines) if spec.together else [machines]:
             plan = self._gang_plan(job, some, left)
             if plan is None:
                 continue
-            attempt = job.attempt + 1
+            attempt = job.last_attempt + 1
             tasks = sorted(job.pending)
             position = 0
             for machine, count in plan:
@@ -515,7 +521,7 @@
         size: Counter[int] = Counter()
         free: Counter[int] = Counter()
         for machine in self.allowed(job):
-            kind = self.tables.types[machine.type]
+            kind = self.cluster.types[machine.type]
             size[machine.zone] += how_many(kind.cpus, kind.gpus, kind.memory_gb, job.spec)
         for machine in machines:
             free[machine.zone] += self._how_many(machine, job)
@@ -527,9 +533,9 @@
         # it turns to another zone: it does so only for half the time that is left.
         wait = {zone: max(0, left - free[zone]) / size[zone] for zone in zones}
         best = min(zones, key=lambda zone: (wait[zone], -size[zone]), default=-1)
-        if job.gathers_in in zones and wait[best] > wait[job.gathers_in] / 2:
-            best = job.gathers_in
-        job.gathers_in = best
+        if job.gathering_zone in zones and wait[best] > wait[job.gathering_zone] / 2:
+            best = job.gathering_zone
+        job.gathering_zone = best
         for machine in machines:
             if left <= 0:
                 break
@@ -540,7 +546,7 @@
     def _gang_plan(
         self, job: Job, machines: list[Machine], left: int
     ) -> list[tuple[Machine, int]] | None:
-        rooms = zone_room(self.tables, job)
+        rooms = zone_room(self.cluster, job)
         plan: list[tuple[Machine, int]] = []
         for machine in machines:
             if not left:
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import EPSILON, Job, Run, Tables
+from appleshift.state.cluster_state import EPSILON, ClusterState, Job, TaskRun
 
 
 class Size(Protocol):
@@ -31,23 +31,23 @@
     return most
 
 
-def zone_room(tables: Tables, job: Job) -> dict[int, int] | None:
+def zone_room(cluster: ClusterState, job: Job) -> dict[int, int] | None:
     """How many more tasks each zone may take; None: no limit."""
     spec = job.spec
     if not spec.spread:
         return None
     most = (spec.tasks + 1) // 2
     taken = Counter(run.machine.zone for run in job.runs.values())
-    return {zone: most - taken[zone] for zone in range(len(tables.zones))}
+    return {zone: most - taken[zone] for zone in range(len(cluster.zones))}
 
 
-def stop_grace(run: Run) -> float:
+def stop_grace(run: TaskRun) -> float:
     """Time that a task needs to save when it is stopped."""
     spec = run.job.spec
     return spec.save_s if spec.checkpoint_s > 0 else 0.0
 
 
-def lost_work(run: Run, now: float) -> float:
+def lost_work(run: TaskRun, now: float) -> float:
     """Run time that a stop wastes: what could not be saved, and the stopping."""
     spec = run.job.spec
     if spec.checkpoint_s > 0:
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -18,7 +18,15 @@
     zone_room,
 )
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import EPSILON, EXITED, ORDERED, Job, Machine, Run, Tables
+from appleshift.state.cluster_state import (
+    ASSIGNED,
+    EPSILON,
+    EXITED,
+    ClusterState,
+    Job,
+    Machine,
+    TaskRun,
+)
 
 
 @dataclass(slots=True)
@@ -28,7 +36,7 @@
     cpus: float
     gpus: float
     memory_gb: float
-    runs: list[Run] = field(default_factory=list)
+    runs: list[TaskRun] = field(default_factory=list)
     stopping: bool = False
     least: int = -1
     """The rank of its least urgent work; a larger rank is less urgent."""
@@ -56,7 +64,7 @@
 class PassView(Protocol):
     """The placement pass that asks whom to stop."""
 
-    tables: Tables
+    cluster: ClusterState
     now: float
     pools: dict[tuple[int, int, bool], list[Machine]]
 
@@ -76,7 +84,7 @@
 
     def __init__(self, placer: PassView) -> None:
         self._placer = placer
-        self._tables = placer.tables
+        self._cluster = placer.cluster
         self._rooms: dict[int, _Room] = {}
         self._least_beside: int | None = None
         self._failed = Failures()
@@ -84,7 +92,7 @@
     def _least_urgent(self, cards: bool) -> int:
         """No task that could be stopped is less urgent than this rank."""
         if not cards:
-            return self._tables.least_urgent()
+            return self._cluster.max_rank_on_machines()
         if self._least_beside is None:
             self._least_beside = max(
                 (
@@ -92,8 +100,8 @@
                     for machine in self._with_cards()
                     for run in machine.runs.values()
                     if (run.job.spec.gpus > 0 or machine.free_gpus > EPSILON)
-                    and run.grace is None
-                    and run.state not in (ORDERED, EXITED)
+                    and run.stop_grace_s is None
+                    and run.state not in (ASSIGNED, EXITED)
                 ),
                 default=-1,
             )
@@ -101,7 +109,7 @@
 
     def _with_cards(self) -> Iterator[Machine]:
         for (kind, _, _), machines in self._placer.pools.items():
-            if self._tables.types[kind].gpus > 0:
+            if self._cluster.types[kind].gpus > 0:
                 yield from machines
 
     def _room(self, machine: Machine) -> _Room:
@@ -111,11 +119,11 @@
             for run in machine.runs.values():
                 if run.state == EXITED:
                     continue
-                if run.grace is not None:
+                if run.stop_grace_s is not None:
                     # Already being stopped: its room comes without a new victim.
                     room.stopping = True
                     room.add(run.job)
-                elif run.state != ORDERED:
+                elif run.state != ASSIGNED:
                     room.runs.append(run)
                     room.least = max(room.least, run.rank)
             self._rooms[machine.index] = room
@@ -129,7 +137,7 @@
             room.gpus -= job.spec.gpus * tasks
             room.memory_gb -= job.spec.memory_gb * tasks
 
-    def victims(self, job: Job, missing: int) -> list[Run]:
+    def victims(self, job: Job, missing: int) -> list[TaskRun]:
         """Just enough less urgent work to make room for what is missing."""
         borrowers = self._borrowers(job)
         if not self._guaranteed(job) and self._least_urgent(job.spec.gpus > 0) <= job.rank:
@@ -140,16 +148,16 @@
             return []
         if job.gang:
             whole = self._gang_victims(job, missing, borrowers)
-            if whole is None and not job.avoid:
+            if whole is None and not job.avoided_machines:
                 self._failed.add(key, job.spec, missing)
             return whole or []
-        rooms = zone_room(self._tables, job)
+        rooms = zone_room(self._cluster, job)
         useful: list[Machine] = []
         for machine in self._placer.allowed(job):
             room = self._room(machine)
             if room.stopping or room.least > job.rank or (borrowers and room.runs):
                 useful.append(machine)
-        chosen: list[Run] = []
+        chosen: list[TaskRun] = []
         for machine in self._placer.first_fit(job, useful):
             if missing <= 0:
                 break
@@ -161,19 +169,19 @@
             missing -= made
             if rooms is not None:
                 rooms[machine.zone] -= made
-        if missing > 0 and rooms is None and not job.avoid:
+        if missing > 0 and rooms is None and not job.avoided_machines:
             self._failed.add(key, job.spec)
         return chosen
 
     def make_room_on(
         self, job: Job, machines: list[Machine], missing: int
-    ) -> tuple[int, list[Run]]:
+    ) -> tuple[int, list[TaskRun]]:
         """Room for replicas on some of these machines, one on each, and who stops."""
-        if self._tables.least_urgent() <= job.rank:
+        if self._cluster.max_rank_on_machines() <= job.rank:
             return 0, []
-        rooms = zone_room(self._tables, job)
+        rooms = zone_room(self._cluster, job)
         made = 0
-        chosen: list[Run] = []
+        chosen: list[TaskRun] = []
         for machine in self._placer.first_fit(job, machines):
             if made >= missing:
                 break
@@ -198,7 +206,7 @@
 
         If so, what this job waits for must be set aside even if it stops nobody.
         """
-        teams = self._tables.teams
+        teams = self._cluster.teams
         if job.spec.gpus > 0:
             return len(teams) > 1
         return any(team.limits.cpus > 0 for team in teams)
@@ -208,7 +216,7 @@
         if not self._placer.within_guarantee(job):
             return set()
         owed = set()
-        for number, team in enumerate(self._tables.teams):
+        for number, team in enumerate(self._cluster.teams):
             if number == job.team:
                 continue
             if job.spec.gpus > 0:
@@ -219,7 +227,7 @@
                 owed.add(number)
         return owed
 
-    def _gang_victims(self, job: Job, missing: int, borrowers: set[int]) -> list[Run] | None:
+    def _gang_victims(self, job: Job, missing: int, borrowers: set[int]) -> list[TaskRun] | None:
         """Room for a whole gang, at the least cost; nobody stops for a part of it.
 
         None if no stops would make enough.
@@ -227,7 +235,7 @@
         zones: dict[int, list[Machine]] = {}
         for machine in self._placer.allowed(job):
             zones.setdefault(machine.zone if job.spec.together else -1, []).append(machine)
-        plans: list[tuple[float, list[Run], list[Machine]]] = []
+        plans: list[tuple[float, list[TaskRun], list[Machine]]] = []
         for machines in zones.values():
             some = self._gang_plan(job, machines, missing, borrowers)
             if some is not None:
@@ -238,7 +246,7 @@
             return None
         _, chosen, machines = min(plans, key=lambda plan: plan[0])
         for run in chosen:
-            run.grace = stop_grace(run)
+            run.stop_grace_s = stop_grace(run)
             room = self._room(run.machine)
             if run in room.runs:
                 room.runs.remove(run)
@@ -251,7 +259,7 @@
 
     def _gang_plan(
         self, job: Job, machines: list[Machine], missing: int, borrowers: set[int]
-    ) -> list[Run] | None:
+    ) -> list[TaskRun] | None:
         """Whom to stop so that the whole gang fits on these machines; None: it cannot."""
         spec = job.spec
 
@@ -259,7 +267,7 @@
             return how_many(room.cpus, room.gpus, room.memory_gb, spec)
 
         # A gang that loses one task stops whole: count all of it, once.
-        groups: dict[tuple[int, int], list[Run]] = {}
+        groups: dict[tuple[int, int], list[TaskRun]] = {}
         for machine in machines:
             room = self._room(machine)
             if room.gpus + EPSILON >= spec.gpus:
@@ -282,12 +290,12 @@
         }
         now = self._placer.now
 
-        def cost(some: list[Run]) -> tuple[int, float]:
+        def cost(some: list[TaskRun]) -> tuple[int, float]:
             victim = some[0].job
             whole = victim.runs.values() if victim.gang else some
             return (-victim.rank, sum(lost_work(run, now) for run in whole) / len(some))
 
-        chosen: list[Run] = []
+        chosen: list[TaskRun] = []
         for some in sorted(groups.values(), key=cost):
             for run in some:
                 room = rooms[run.machine.index]
@@ -301,7 +309,7 @@
 
     def _make_room(
         self, job: Job, machine: Machine, most: int, borrowers: set[int]
-    ) -> tuple[int, list[Run]]:
+    ) -> tuple[int, list[TaskRun]]:
         """Room for up to ``most`` tasks on one machine, and who stops for it."""
         room = self._room(machine)
         able = [run for run in room.runs if self._may_stop(job, run, borrowers)]
@@ -309,13 +317,13 @@
         now, late = self._placer.now, self._placer.late
         able.sort(key=lambda run: (-run.rank, lost_work(run, now), -late(run.job)))
         made = 0
-        stopped: list[Run] = []
+        stopped: list[TaskRun] = []
         while made < most:
             if room.take(job):
                 made += 1
                 continue
             # What one more task needs; nobody is stopped for less than that.
-            some: list[Run] = []
+            some: list[TaskRun] = []
             cpus, gpus, memory = room.cpus, room.gpus, room.memory_gb
             spec = job.spec
             for run in able:
@@ -332,7 +340,7 @@
             else:
                 break
             for run in some:
-                run.grace = stop_grace(run)
+                run.stop_grace_s = stop_grace(run)
                 able.remove(run)
                 room.runs.remove(run)
                 room.stopping = True
@@ -341,14 +349,14 @@
         return made, stopped
 
     @staticmethod
-    def _may_stop(job: Job, run: Run, borrowers: set[int]) -> bool:
+    def _may_stop(job: Job, run: TaskRun, borrowers: set[int]) -> bool:
         other = run.job
         if in_no_way(job.spec, run):
             return False
         return run.rank > job.rank or other.team in borrowers
 
 
-def in_no_way(spec: Submission, run: Run) -> bool:
+def in_no_way(spec: Submission, run: TaskRun) -> bool:
     """Work beside cards leaves them what they need: while no card is free,
     ending it gives work with cards nothing."""
     return spec.gpus > 0 and run.job.spec.gpus <= 0 and run.machine.free_gpus + EPSILON < spec.gpus
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -12,7 +12,7 @@
 
 from appleshift.contracts.interfaces import Machines
 from appleshift.placement.fit import zone_room
-from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, Run
+from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, TaskRun
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
     def __init__(self, fleet: Machines) -> None:
         self.fleet = fleet
-        self.tables = fleet.tables
+        self.cluster = fleet.cluster
         self.started = fleet.core.now
         self.leaving: Machine | None = None
         self.next_look = fleet.core.now
@@ -36,7 +36,7 @@
     def step(self, now: float) -> None:
         machine = self.leaving
         if machine is not None:
-            if machine.asked_gone or machine.status != UP:
+            if machine.deletion_requested or machine.status != UP:
                 self.leaving = None
             elif self.fleet.shortages:
                 log.info("machine %s is needed after all", machine.name)
@@ -57,10 +57,10 @@
             return
         spare = fleet.steady_spare.get(False, 0.0)
         best: tuple[float, Machine] | None = None
-        for machine in self.tables.machines.values():
-            kind = self.tables.types[machine.type]
+        for machine in self.cluster.machines.values():
+            kind = self.cluster.types[machine.type]
             used = 1.0 - machine.free_cpus / kind.cpus if kind.cpus else 1.0
-            if machine.spot or kind.gpus > 0 or not machine.usable() or used > MOST_USED:
+            if machine.spot or kind.gpus > 0 or not machine.schedulable() or used > MOST_USED:
                 continue
             if fleet.units(machine) * self.fleet.operator.consolidate_spare > spare:
                 continue
@@ -77,19 +77,19 @@
             fleet.steady_spare[False] = 0.0
             log.info("emptying machine %s", self.leaving.name)
 
-    def _room_elsewhere(self, leaving: Machine, replicas: list[Run], now: float) -> bool:
+    def _room_elsewhere(self, leaving: Machine, replicas: list[TaskRun], now: float) -> bool:
         """Would every replica find a machine with its image?"""
         room = {
             machine.index: [machine.free_cpus, machine.free_gpus, machine.free_memory]
-            for machine in self.tables.machines.values()
-            if machine is not leaving and machine.usable() and machine.failed_until <= now
-            if not machine.foreign
+            for machine in self.cluster.machines.values()
+            if machine is not leaving and machine.schedulable() and machine.avoid_until <= now
+            if not machine.in_other_shard
         }
         for run in replicas:
             spec = run.job.spec
             need = (spec.cpus, spec.gpus, spec.memory_gb)
             for index, free in room.items():
-                machine = self.tables.machines[index]
+                machine = self.cluster.machines[index]
                 fits = all(have + EPSILON >= want for have, want in zip(free, need, strict=True))
                 if fits and self._allowed(run.job, run, machine):
                     for position, want in enumerate(need):
@@ -99,24 +99,24 @@
                 return False
         return True
 
-    def _allowed(self, job: Job, run: Run, machine: Machine) -> bool:
-        if job.image not in machine.images or not self.tables.types_for(job)[machine.type]:
+    def _allowed(self, job: Job, run: TaskRun, machine: Machine) -> bool:
+        if job.image not in machine.images or not self.cluster.eligible_types(job)[machine.type]:
             return False
         if (machine.spot and not job.spec.spot) or job.zone not in (-1, machine.zone):
             return False
         if job.spec.together and machine.zone != run.machine.zone:
             return False
-        rooms = zone_room(self.tables, job)
+        rooms = zone_room(self.cluster, job)
         same = machine.zone == run.machine.zone
         return rooms is None or rooms[machine.zone] + same > 0
 
     def _move(self, machine: Machine, now: float) -> None:
-        moving = sum(1 for run in machine.runs.values() if run.grace is not None)
+        moving = sum(1 for run in machine.runs.values() if run.stop_grace_s is not None)
         for run in list(machine.runs.values()):
             if moving >= MOVES_AT_ONCE:
                 return
             settled = run.state == RUNNING and now - run.running_since > SETTLED_S
-            if not (run.job.service and settled and run.grace is None):
+            if not (run.job.service and settled and run.stop_grace_s is None):
                 continue
             if self._room_elsewhere(machine, [run], now):
                 self.fleet.core.stop(run, 0.0, "move")
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -13,7 +13,7 @@
 from appleshift.protocol.cloud import MachineType
 from appleshift.provisioning.planner import Market, Plan, find_plan, machines_for
 from appleshift.provisioning.unclaimed_gpu_machines import rent_unclaimed
-from appleshift.state.cluster_state import BOOTING, OPEN, UP, Job, Machine, Tables
+from appleshift.state.cluster_state import BOOTING, OPEN, UP, ClusterState, Job, Machine
 
 log = logging.getLogger(__name__)
 
@@ -21,16 +21,16 @@
 """Work that may wait for this many boots can be rented for when it comes."""
 
 
-def need_of(tables: Tables, shortage: Shortage) -> Need:
+def need_of(cluster: ClusterState, shortage: Shortage) -> Need:
     """Work that found no room, with where there may be any for it."""
     job, spec = shortage.job, shortage.job.spec
-    rooms = zone_room(tables, job)
+    rooms = zone_room(cluster, job)
     zones = [
         zone
-        for zone in range(len(tables.zones))
+        for zone in range(len(cluster.zones))
         if job.zone in (-1, zone) and (rooms is None or rooms[zone] > 0)
     ]
-    kinds = tables.types_for(job)
+    kinds = cluster.eligible_types(job)
     return Need(spec.gpus, spec.cpus, spec.memory_gb, shortage.tasks, spec.spot, kinds, zones)
 
 
@@ -40,20 +40,25 @@
     def __init__(self, fleet: Machines, gpus: bool) -> None:
         self.fleet = fleet
         self.gpus = gpus
-        tables = fleet.tables
-        self.kinds = [index for index, kind in enumerate(tables.types) if (kind.gpus > 0) == gpus]
+        cluster = fleet.cluster
+        self.kinds = [index for index, kind in enumerate(cluster.types) if (kind.gpus > 0) == gpus]
         self.machines = [
             machine
-            for machine in tables.machines.values()
+            for machine in cluster.machines.values()
             if machine.type in self.kinds
             # What cannot be heard is no capacity, though it may come back.
             and fleet.trust.counts(machine.zone)
-            and not (machine.asked_gone or machine.sick or machine.draining or machine.cordoned)
+            and not (
+                machine.deletion_requested
+                or machine.quarantined
+                or machine.draining
+                or machine.cordoned
+            )
         ]
-        self.lit = sum(fleet.trust.counts(zone) for zone in range(len(tables.zones)))
+        self.lit = sum(fleet.trust.counts(zone) for zone in range(len(cluster.zones)))
         self.steady = min(
             self.kinds,
-            key=lambda index: tables.types[index].price / self._size(tables.types[index]),
+            key=lambda index: cluster.types[index].price / self._size(cluster.types[index]),
             default=-1,
         )
 
@@ -62,7 +67,7 @@
 
     def units(self, kind: MachineType) -> float:
         """A machine measured in steady machines, by its scarcest dimension."""
-        steady = self.fleet.tables.types[self.steady]
+        steady = self.fleet.cluster.types[self.steady]
         ratios = [kind.cpus / steady.cpus, kind.memory_gb / steady.memory_gb]
         if self.gpus:
             ratios = [kind.gpus / steady.gpus]
@@ -70,7 +75,7 @@
 
     def demand(self, now: float) -> tuple[float, float]:
         """R, and the part of it that may not use spot machines, over all shares."""
-        steady = self.fleet.tables.types[self.steady]
+        steady = self.fleet.cluster.types[self.steady]
         total, fixed = self.sums(now)
         sharing = self.fleet.core.sharing
         if sharing is not None:
@@ -84,22 +89,22 @@
 
     def sums(self, now: float) -> tuple[list[float], list[float]]:
         """CPUs, GPUs and GB that this share's jobs need: all, and without spot machines."""
-        tables = self.fleet.tables
+        cluster = self.fleet.cluster
         total = [0.0, 0.0, 0.0]
         fixed = [0.0, 0.0, 0.0]
         if self.steady < 0:
             return total, fixed
-        steady = tables.types[self.steady]
+        steady = cluster.types[self.steady]
         seats = self.fleet.core.seats
-        caps = seats.caps(tables.jobs.values()) if seats is not None else {}
-        for job in tables.jobs.values():
+        caps = seats.caps(cluster.jobs.values()) if seats is not None else {}
+        for job in cluster.jobs.values():
             spec = job.spec
             if job.status != OPEN or (spec.gpus > 0) != self.gpus:
                 continue
             # What waits for seats only needs no machine yet, nor do replicas that
             # may run nowhere but in a zone that is cut off.
-            tasks = min(job.left(), caps.get(job.index, spec.tasks), self._spread_most(job))
-            limits = tables.teams[job.team].limits
+            tasks = min(job.remaining(), caps.get(job.index, spec.tasks), self._spread_most(job))
+            limits = cluster.teams[job.team].limits
             if spec.gpus > 0 and limits.gpus_max > 0:
                 tasks = min(tasks, int(limits.gpus_max / spec.gpus))
             if spec.gpus <= 0 and limits.cpus_max > 0 and spec.cpus > 0:
@@ -133,8 +138,8 @@
     def review(self, now: float) -> None:
         if self.steady < 0:
             return
-        fleet, tables = self.fleet, self.fleet.tables
-        steady_kind = tables.types[self.steady]
+        fleet, cluster = self.fleet, self.fleet.cluster
+        steady_kind = cluster.types[self.steady]
         required, fixed = self.demand(now)
         recent = fleet.required[self.gpus]
         recent.append((now, required))
@@ -166,12 +171,12 @@
 
     def markets(self, now: float) -> list[Market]:
         """Where spot machines may be rented, capped where there are no more."""
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
         found = []
         for kind in self.kinds:
-            spec = tables.types[kind]
+            spec = cluster.types[kind]
             for name in spec.zones:
-                zone = tables.zones.get(name)
+                zone = cluster.zones.get(name)
                 if fleet.evicted.get((kind, zone), 0.0) > now:
                     continue
                 have = self._held(kind, zone)
@@ -191,10 +196,10 @@
 
     def _summary(self, required: float, fixed: float) -> None:
         """One line for operators: what is needed, what there is, what is used."""
-        tables = self.fleet.tables
+        cluster = self.fleet.cluster
         used = 0.0
         for machine in self.machines:
-            kind = tables.types[machine.type]
+            kind = cluster.types[machine.type]
             free = machine.free_gpus / kind.gpus if self.gpus else machine.free_cpus / kind.cpus
             used += (1.0 - free) * self.units(kind)
         short = [s for s in self.fleet.shortages if (s.job.spec.gpus > 0) == self.gpus]
@@ -204,7 +209,7 @@
             "with cards" if self.gpus else "no cards",
             required,
             fixed,
-            tables.type_names.names[self.steady],
+            cluster.type_names.names[self.steady],
             self._capacity(False),
             self._capacity(True),
             len(self.machines),
@@ -216,27 +221,27 @@
 
     def _asked(self, spot: bool) -> float:
         return sum(
-            count * self.units(self.fleet.tables.types[kind])
+            count * self.units(self.fleet.cluster.types[kind])
             for kind, _, asked_spot, count in self.fleet.asked.values()
             if kind in self.kinds and asked_spot == spot
         )
 
     def _capacity(self, spot: bool) -> float:
         """Capacity there is or will be; boots that are late no longer count."""
-        tables, now = self.fleet.tables, self.fleet.core.now
+        cluster, now = self.fleet.cluster, self.fleet.core.now
         total = 0.0
         for machine in self.machines:
-            kind = tables.types[machine.type]
+            kind = cluster.types[machine.type]
             late = machine.status == BOOTING and now - machine.rented_at > kind.boot_s * 1.6
             if machine.spot == spot and not late:
                 total += self.units(kind)
         return total + self._asked(spot)
 
     def _grow(self, plan: Plan, required: float, fixed: float, now: float) -> None:
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
         # Orphans fill what groups lack before anything is rented.
         orphans = sum(
-            self.units(tables.types[m.type])
+            self.units(cluster.types[m.type])
             for m in self.machines
             if m.spot and (m.type, m.zone) not in fleet.groups
         )
@@ -252,7 +257,7 @@
         crowded = fleet.crowded()
 
         def worth(index: int) -> float:
-            kind = tables.types[index]
+            kind = cluster.types[index]
             # Each machine takes a place: of few places, the large make more.
             return -self._size(kind) if crowded else kind.price / self._size(kind)
 
@@ -261,7 +266,7 @@
         for kind in order:
             if missing_units <= 1e-6:
                 return
-            units = self.units(tables.types[kind])
+            units = self.units(cluster.types[kind])
             count = int(-(-missing_units // units))
             got = self._rent_spread(kind, False, count)
             missing_units -= got * units
@@ -270,7 +275,7 @@
             # No steady machine to be had: spot of any type is better than none,
             # for work that may use it.
             for kind in order:
-                units = self.units(tables.types[kind])
+                units = self.units(cluster.types[kind])
                 got = self._rent_spread(kind, True, int(-(-missing_units // units)))
                 missing_units -= got * units
                 if missing_units <= 1e-6:
@@ -286,12 +291,12 @@
         Other work may wait for what is running to end; replicas cannot, for
         nothing that runs beside them need ever end.
         """
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
         # What is on its way, by (type, zone, spot).
         coming: Counter[tuple[int, int, bool]] = Counter(
             (m.type, m.zone, m.spot)
             for m in self.machines
-            if m.status == BOOTING and now - m.rented_at <= tables.types[m.type].boot_s * 1.6
+            if m.status == BOOTING and now - m.rented_at <= cluster.types[m.type].boot_s * 1.6
         )
         for kind, zone, spot, count in fleet.asked.values():
             coming[kind, zone, spot] += count
@@ -313,16 +318,18 @@
 
     def needs(self) -> list[Need]:
         """Of this share: work that what it has can never take."""
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
         there = {
-            (m.type, m.zone, m.spot) for m in self.machines if m.status == UP and not m.foreign
+            (m.type, m.zone, m.spot)
+            for m in self.machines
+            if m.status == UP and not m.in_other_shard
         }
         found = []
         for shortage in fleet.shortages:
             job = shortage.job
             if job.status != OPEN or (job.spec.gpus > 0) != self.gpus:
                 continue
-            need = need_of(tables, shortage)
+            need = need_of(cluster, shortage)
             if not job.service and any(
                 need.kinds[kind] and zone in need.zones and need.spot >= spot
                 for kind, zone, spot in there
@@ -333,15 +340,15 @@
 
     def _fit(self, kind: int, need: Need) -> int:
         """How many of its tasks an empty machine of a type takes."""
-        offer = self.fleet.tables.types[kind]
+        offer = self.fleet.cluster.types[kind]
         return how_many(offer.cpus, offer.gpus, offer.memory_gb, need)
 
     def _rent_for(self, need: Need, tasks: int) -> None:
         """Rent the cheapest machines on which these tasks may run."""
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
 
         def price(kind: int, spot: bool) -> float:
-            offer = tables.types[kind]
+            offer = cluster.types[kind]
             each = offer.spot_price if spot else offer.price
             return each * -(-tasks // max(1, self._fit(kind, need)))
 
@@ -351,7 +358,7 @@
             if need.kinds[kind]
             for spot in ((False, True) if need.spot else (False,))
             for zone in need.zones
-            if tables.zones.names[zone] in tables.types[kind].zones
+            if cluster.zones.names[zone] in cluster.types[kind].zones
             and fleet.available(kind, zone, spot)
         )
         if offers:
@@ -361,8 +368,8 @@
 
     def _rent_spread(self, kind: int, spot: bool, count: int) -> int:
         """Rent in the zones that have least, as far as none refuses."""
-        fleet, tables = self.fleet, self.fleet.tables
-        zones = [tables.zones.get(zone) for zone in tables.types[kind].zones]
+        fleet, cluster = self.fleet, self.fleet.cluster
+        zones = [cluster.zones.get(zone) for zone in cluster.types[kind].zones]
         open_zones = [
             zone
             for zone in zones
@@ -375,12 +382,12 @@
         held = dict.fromkeys(open_zones, 0.0)
         for machine in self.machines:
             if machine.zone in held:
-                held[machine.zone] += self.units(tables.types[machine.type])
+                held[machine.zone] += self.units(cluster.types[machine.type])
         shares = dict.fromkeys(open_zones, 0)
         for _ in range(min(count, cloud.MAX_RENT)):
             zone = min(open_zones, key=lambda zone: (held[zone], zone))
             shares[zone] += 1
-            held[zone] += self.units(tables.types[kind])
+            held[zone] += self.units(cluster.types[kind])
         for zone, share in shares.items():
             if share:
                 fleet.rent(kind, zone, spot, share)
@@ -388,7 +395,7 @@
 
     def _shrink(self, plan: Plan, required: float, fixed: float, now: float) -> None:
         """Return idle machines that the plan does without, the dearest first."""
-        fleet, tables = self.fleet, self.fleet.tables
+        fleet, cluster = self.fleet, self.fleet.cluster
         sharing = fleet.core.sharing
         fleet.steady_spare[self.gpus] = 0.0
         if fleet.asked or any(s.job.spec.gpus > 0 for s in fleet.shortages if self.gpus):
@@ -397,17 +404,17 @@
         steady_spare = self._capacity(False) - max(fixed, required - self._capacity(True))
         total_spare = self._capacity(False) + self._capacity(True) - required
         idle = [m for m in self.machines if m.status == UP and m.idle_since and m.empty()]
-        idle.sort(key=lambda m: -tables.types[m.type].price)
+        idle.sort(key=lambda m: -cluster.types[m.type].price)
         leaving: list[Machine] = []
         for machine in idle:
-            units = self.units(tables.types[machine.type])
+            units = self.units(cluster.types[machine.type])
             operator = fleet.operator
             limit = operator.idle_cards_s if self.gpus else operator.idle_steady_s
             if machine.spot:
                 limit = operator.idle_spot_s
             # A machine that is rented again costs its boot: waiting idle for as
             # long as that is never worse than twice the best hindsight.
-            limit = max(limit, tables.types[machine.type].boot_s)
+            limit = max(limit, cluster.types[machine.type].boot_s)
             if now - machine.idle_since < limit or len(leaving) >= cloud.MAX_DELETE:
                 continue
             if machine.spot:
@@ -428,6 +435,6 @@
             fleet.steady_spare[self.gpus] = self._capacity(False) - needed
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
-        fleet.core.delete([machine for machine in leaving if not machine.foreign])
+        fleet.core.delete([machine for machine in leaving if not machine.in_other_shard])
         if sharing is not None:
-            sharing.give_back([machine for machine in leaving if machine.foreign])
+            sharing.give_back([machine for machine in leaving if machine.in_other_shard])
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -20,38 +20,38 @@
 def rent_unclaimed(fleet: Machines, steady: int, missing: float) -> None:
     """Rent for capacity that is missing, in steady machines of a type without cards, once
     no market without cards has any."""
-    tables = fleet.tables
-    if fleet.core.sharing is not None or not tables.spot_cards_unclaimed():
+    cluster = fleet.cluster
+    if fleet.core.sharing is not None or not cluster.spot_gpus_unclaimed():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
     if not any(job.spec.spot and ends_anywhere(job) for job in jobs):
         return
-    plain = tables.types[steady]
-    for index, kind in enumerate(tables.types):
+    plain = cluster.types[steady]
+    for index, kind in enumerate(cluster.types):
         for name in kind.zones if kind.gpus <= 0 else ():
-            zone = tables.zones.get(name)
+            zone = cluster.zones.get(name)
             if not all(fleet.exhausted(index, zone, spot) for spot in (False, True)):
                 return
     dear = plain.price / plain.cpus * DEAREST
     offers = sorted(
         (kind.spot_price / kind.cpus, index)
-        for index, kind in enumerate(tables.types)
+        for index, kind in enumerate(cluster.types)
         if kind.gpus > 0 and kind.cpus > 0 and kind.spot_price <= dear * kind.cpus
     )
     for _, index in offers:
-        kind = tables.types[index]
+        kind = cluster.types[index]
         units = min(kind.cpus / plain.cpus, kind.memory_gb / plain.memory_gb)
         have = sum(
             1
-            for machine in tables.machines.values()
-            if machine.type == index and machine.spot and not machine.asked_gone
+            for machine in cluster.machines.values()
+            if machine.type == index and machine.spot and not machine.deletion_requested
         )
         have += sum(
             count for asked, _, spot, count in fleet.asked.values() if spot and asked == index
         )
         wanted = int(missing / units) - have
         for name in kind.zones:
-            zone = tables.zones.get(name)
+            zone = cluster.zones.get(name)
             if wanted > 0 and zone >= 0 and fleet.available(index, zone, True):
                 fleet.rent(index, zone, True, wanted)
                 wanted -= min(wanted, cloud.MAX_RENT)
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -16,7 +16,7 @@
 from appleshift.placement.admission import refusal
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import CANCELLED, ELSEWHERE, FINISHED, OPEN, Job
+from appleshift.state.cluster_state import CANCELLED, FINISHED, FORWARDED, OPEN, Job
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
@@ -49,35 +49,35 @@
 
     def __init__(self, core: Answering) -> None:
         self._core = core
-        self._tables = core.tables
+        self._cluster = core.cluster
         self._taken = False
 
     def _final(self, job_id: str, slot: Any, body: Callable[[str, str], dict[str, Any]]) -> bool:
         """Answer from what is over, or say which share decides for the job."""
-        final = self._tables.finals.get(job_id)
+        final = self._cluster.final_states.get(job_id)
         if final is None:
             return False
-        if final >= ELSEWHERE:
-            self._core.reply(slot, 421, {"share": final - ELSEWHERE})
+        if final >= FORWARDED:
+            self._core.reply(slot, 421, {"share": final - FORWARDED})
         else:
             self._core.reply(slot, 200, body(job_id, FINAL_NAMES[final]))
         return True
 
     def submit(self, spec: Submission, slot: Any, wall: float, homed: bool = False) -> None:
-        core, tables = self._core, self._tables
+        core, cluster = self._core, self._cluster
         if self._final(spec.id, slot, users.state_body):
             return
         if not core.authority.may_answer(core.now):
             core.unavailable(slot)
             return
-        known = tables.job_by_id.get(spec.id)
+        known = cluster.job_by_id.get(spec.id)
         if known is not None:
             if known.accepted:
                 core.reply(slot, 200, users.state_body(spec.id, self.state(known)))
             else:
                 self._or_stalled(slot, 200, users.state_body(spec.id, users.PENDING))
             return
-        wrong = refusal(tables, spec, core.seats)
+        wrong = refusal(cluster, spec, core.seats)
         if wrong is not None:
             # Also in an outage: nothing has to be written to refuse it.
             core.reply(slot, wrong[0], users.error_body(wrong[1]), 1 if wrong[0] == 503 else 0)
@@ -96,11 +96,11 @@
                 return
         if core.seats is None and spec.seats is not None:
             spec = msgspec.structs.replace(spec, seats=None)
-        job = tables.add_job(tables.next_job, spec, wall)
+        job = cluster.add_job(cluster.next_job_index, spec, wall)
         record = records.job_record(job)
         if not core.journal.fits(record):
-            tables.jobs.pop(job.index)
-            tables.job_by_id.pop(spec.id)
+            cluster.jobs.pop(job.index)
+            cluster.job_by_id.pop(spec.id)
             core.reply(slot, 400, users.error_body("description too large"))
             return
 
@@ -123,11 +123,11 @@
 
         Only then may that share be asked, or two might take the same job.
         """
-        core, tables = self._core, self._tables
-        final = ELSEWHERE + share
+        core, cluster = self._core, self._cluster
+        final = FORWARDED + share
 
         def durable() -> None:
-            tables.finals[spec.id] = final
+            cluster.final_states[spec.id] = final
 
         core.write([records.final_record(spec.id, final)], durable)
         core.unsaved_finals.append((spec.id, final))
@@ -165,8 +165,8 @@
         """What users have been told of a job at least: its final state, PENDING if it was
         accepted, None if it is not known. Any routine may ask: it reads single values."""
         # In this order: an ended job is among the finals before it is gone from here.
-        job = self._tables.job_by_id.get(job_id)
-        final = self._tables.finals.get(job_id)
+        job = self._cluster.job_by_id.get(job_id)
+        final = self._cluster.final_states.get(job_id)
         if final is not None:
             return FINAL_NAMES.get(final, users.PENDING)
         if job is None:
@@ -187,7 +187,7 @@
         core = self._core
         if self._final(job_id, slot, users.status_body):
             return
-        job = self._tables.job_by_id.get(job_id)
+        job = self._cluster.job_by_id.get(job_id)
         if job is not None and (job.done_durable or job.cancel_durable):
             pass
         elif not core.authority.may_answer(core.now):
@@ -208,15 +208,15 @@
         if not core.authority.may_answer(core.now):
             core.unavailable(slot)
             return
-        job = self._tables.job_by_id.get(job_id)
+        job = self._cluster.job_by_id.get(job_id)
         if job is None:
             self._unknown(job_id, slot, homed, map_version)
             return
         if not self._takes_writes():
             core.unavailable(slot)
             return
-        apart = job.away and job.status == OPEN
-        if core.sharing is not None and (apart or job.called_off):
+        apart = job.remote_tasks and job.status == OPEN
+        if core.sharing is not None and (apart or job.cancel_requested):
             # Users are told once every share that has a portion has ended it.
             core.sharing.call_off(job, slot)
             return
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -31,19 +31,19 @@
 from appleshift.protocol.workers import Report, TaskReport
 from appleshift.scheduler.job_requests import Requests
 from appleshift.state.cluster_state import (
+    ASSIGNED,
     CANCELLED,
     EXITED,
     FINISHED,
     OPEN,
-    ORDERED,
+    RUN_STATES,
     RUNNING,
-    STATES,
     UP,
     WAITING,
+    ClusterState,
     Job,
     Machine,
-    Run,
-    Tables,
+    TaskRun,
 )
 from appleshift.storage import records
 from appleshift.storage.records import Record, Replay
@@ -89,7 +89,7 @@
         self.operator = operator
         self.authority = authority
         self.token = token
-        self.tables: Tables = replay.tables
+        self.cluster: ClusterState = replay.cluster
         self.journal = journal
         self.seats = seats
         self.sharing = sharing
@@ -123,33 +123,33 @@
 
     def _restore(self, replay: Replay, wall: float) -> None:
         """Known assignments stay where they are until there is proof."""
-        tables = self.tables
+        cluster = self.cluster
         if self.seats is not None:
             self.seats.adopt()
         for (index, task), (attempt, name, session) in replay.places.items():
-            job = tables.jobs.get(index)
-            machine = tables.machine(name)
+            job = cluster.jobs.get(index)
+            machine = cluster.machine(name)
             if job is None or job.done[task]:
                 continue
             if machine is None:
                 # Its deletion was written down: the task went with it.
                 continue
-            machine.session = max(machine.session, session)
-            run = tables.assign(job, task, attempt, machine, session)
-            run.durable = run.pushed = True
-            run.mine = False
+            machine.agent_epoch = max(machine.agent_epoch, session)
+            run = cluster.assign(job, task, attempt, machine, session)
+            run.assignment_durable = run.start_sent = True
+            run.ordered_this_term = False
         if self.seats is not None:
             self.seats.recovered()
         for submitted, spec in sorted(replay.arrivals, key=lambda entry: entry[0]):
             # What arrived under the leader before still says how much comes.
             self.fleet.arrived(spec, self.now - max(0.0, wall - submitted))
-        for machine in tables.machines.values():
+        for machine in cluster.machines.values():
             machine.status = UP
             # Whoever led before us may have answered until we were elected.
             machine.lease_until = self.now + self.worker_lease_s
             machine.idle_since = self.now
             machine.rented_at = self.now
-        for job in list(tables.jobs.values()):
+        for job in list(cluster.jobs.values()):
             if job.status == CANCELLED:
                 self.stop_job(job)
             self._maybe_end(job)
@@ -224,29 +224,29 @@
 
     def _maybe_end(self, job: Job) -> None:
         """Shrink a job to its final state once nothing of it can run."""
-        if job.index not in self.tables.jobs or job.runs:
+        if job.index not in self.cluster.jobs or job.runs:
             return
         if not (job.done_durable or job.cancel_durable):
             return
         self.journal.append(records.end_record(job))
         self.unsaved_finals.append((job.key, job.status))
-        self.tables.retire(job)
+        self.cluster.retire(job)
 
     # -- tasks --------------------------------------------------------------------
 
-    def stop(self, run: Run, grace: float, reason: str) -> None:
+    def stop(self, run: TaskRun, grace: float, reason: str) -> None:
         """Order a task to stop; a sharper order replaces a gentler one."""
-        if run.state == EXITED or (run.grace is not None and run.grace <= grace):
+        if run.state == EXITED or (run.stop_grace_s is not None and run.stop_grace_s <= grace):
             return
-        if run.state == ORDERED and run.mine and not run.pushed:
+        if run.state == ASSIGNED and run.ordered_this_term and not run.start_sent:
             # Never sent to the worker: nothing can be there.
             run.state = EXITED
             run.machine.runs.pop((run.name, run.attempt), None)
             self.free([run], exited=False)
             return
-        run.grace = grace
+        run.stop_grace_s = grace
         log.debug("stopping %s: %s", run.name, reason)
-        run.stopped_at = self.now
+        run.stop_ordered_at = self.now
         self.orders.due(run.machine)
 
     def stop_gang(self, job: Job, grace: float, reason: str) -> None:
@@ -254,19 +254,19 @@
         for run in list(job.runs.values()):
             self.stop(run, grace, reason)
 
-    def free(self, some: list[Run], exited: bool) -> None:
+    def free(self, some: list[TaskRun], exited: bool) -> None:
         """These tasks are certainly off their machines: write it down."""
-        by_job: dict[int, list[Run]] = {}
+        by_job: dict[int, list[TaskRun]] = {}
         for run in some:
             if run.job.runs.get(run.task) is run:
-                self.tables.free(run)
+                self.cluster.free(run)
                 by_job.setdefault(run.job.index, []).append(run)
             elif exited:
                 run.exit_durable = True
         for runs in by_job.values():
             job = runs[0].job
 
-            def durable(runs: list[Run] = runs, job: Job = job) -> None:
+            def durable(runs: list[TaskRun] = runs, job: Job = job) -> None:
                 for run in runs:
                     run.exit_durable = True
                 self._maybe_end(job)
@@ -278,24 +278,24 @@
                 self.stop_gang(job, 0.0, "gang")
         self.dirty = True
 
-    def finish(self, some: list[Run]) -> None:
+    def finish(self, some: list[TaskRun]) -> None:
         """These tasks completed: their results count from the record on."""
-        by_job: dict[int, list[Run]] = {}
+        by_job: dict[int, list[TaskRun]] = {}
         for run in some:
             by_job.setdefault(run.job.index, []).append(run)
         for runs in by_job.values():
             self.complete(runs[0].job, [run.task for run in runs], runs)
 
-    def complete(self, job: Job, tasks: list[int], runs: list[Run]) -> None:
+    def complete(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
         """These tasks are done, here (``runs``) or in another share."""
-        done = [task for task in tasks if self.tables.finish_task(job, task)]
+        done = [task for task in tasks if self.cluster.finish_task(job, task)]
         if job.gang and done:
             # A gang completes together.
             for task in range(job.spec.tasks):
-                if self.tables.finish_task(job, task):
+                if self.cluster.finish_task(job, task):
                     done.append(task)
         for run in runs:
-            self.tables.free(run)
+            self.cluster.free(run)
         whole = job.done_count == job.spec.tasks and not job.service
         if whole and job.status == OPEN:
             job.status = FINISHED
@@ -323,17 +323,17 @@
         if not self.authority.may_answer(self.now):
             self.reply(slot, 503, users.error_body("not leading"))
             return
-        given = self.tables.given.get(report.machine)
+        given = self.cluster.handed_off.get(report.machine)
         if given is not None:
-            self.reply(slot, 421, {"share": given.share})
+            self.reply(slot, 421, {"share": given.shard})
             return
-        known = self.tables.machine(report.machine)
+        known = self.cluster.machine(report.machine)
         if report.token > (self.token if known is None else self.token_for(known)):
             # Somebody was elected after us, whatever our clock says.
             self.reply(slot, 421, workers.redirect(None))
             return
         machine = self._machine_of(report)
-        if machine is None or machine.foreign or report.session < machine.session:
+        if machine is None or machine.in_other_shard or report.session < machine.agent_epoch:
             self.reply(slot, 503, users.error_body("machine not known here"))
             return
         token = self.token_for(machine)
@@ -351,9 +351,9 @@
         answer = workers.answer(token, commands)
         self.reply(slot, 200, answer)
         newest = report.seq == machine.seq and report.token == token
-        if tasks is not None and newest and not commands and machine.steady():
-            same = (machine.session, token, tasks, encode(answer))
-            machine.cell = self.express.learn(machine.name, same, self.now, report.seq)
+        if tasks is not None and newest and not commands and machine.needs_no_commands():
+            same = (machine.agent_epoch, token, tasks, encode(answer))
+            machine.fast_path_entry = self.express.learn(machine.name, same, self.now, report.seq)
 
     def token_for(self, machine: Machine) -> int:
         """What its worker is told: never less than it was told in another share.
@@ -361,20 +361,20 @@
         Nobody else gives it orders with that token any more: its former holder
         wrote down that it gave it away, and any later one there reads so.
         """
-        return max(self.token, machine.floor)
+        return max(self.token, machine.min_fencing_token)
 
     def _machine_of(self, report: Report) -> Machine | None:
-        machine = self.tables.machine(report.machine)
+        machine = self.cluster.machine(report.machine)
         if machine is None:
             machine = self.fleet.adopt(report)
         return machine
 
     def observe(self, machine: Machine, report: Report) -> None:
-        if report.session > machine.session:
-            if machine.session:
+        if report.session > machine.agent_epoch:
+            if machine.agent_epoch:
                 log.info("machine %s moved to session %d", machine.name, report.session)
             self.session_over(machine)
-            machine.session = report.session
+            machine.agent_epoch = report.session
             machine.seq = -1
             # The session's own lease runs from its begin, which is earlier than
             # now. The last session's end must not be taken for this one's.
@@ -386,8 +386,8 @@
         self.fleet.heard(machine, report)
         fenced = report.token >= self.token_for(machine)
         seen: set[tuple[str, int]] = set()
-        done: list[Run] = []
-        gone: list[Run] = []
+        done: list[TaskRun] = []
+        gone: list[TaskRun] = []
         for entry in report.tasks:
             key = (entry.task, entry.attempt)
             seen.add(key)
@@ -399,20 +399,20 @@
         for key, run in list(machine.runs.items()):
             if key in seen:
                 continue
-            if run.state == ORDERED and run.mine:
+            if run.state == ASSIGNED and run.ordered_this_term:
                 # The start may still be under way; it is repeated until seen.
                 continue
-            if run.state == ORDERED and not fenced:
+            if run.state == ASSIGNED and not fenced:
                 # An earlier leader's start may still arrive.
                 continue
-            if run.state == EXITED and run.uncertain:
+            if run.state == EXITED and run.unconfirmed_starts:
                 continue
             del machine.runs[key]
             if run.state != EXITED:
                 run.state = EXITED
                 gone.append(run)
-        for key in [key for key in machine.strays if key not in seen]:
-            del machine.strays[key]
+        for key in [key for key in machine.unknown_runs if key not in seen]:
+            del machine.unknown_runs[key]
         if done:
             self.finish(done)
         if gone:
@@ -421,29 +421,34 @@
             machine.idle_since = self.now
 
     def _progress(
-        self, machine: Machine, run: Run, entry: TaskReport, done: list[Run], gone: list[Run]
+        self,
+        machine: Machine,
+        run: TaskRun,
+        entry: TaskReport,
+        done: list[TaskRun],
+        gone: list[TaskRun],
     ) -> None:
         before = run.state
-        state = STATES.get(entry.state)
+        state = RUN_STATES.get(entry.state)
         if state is None or before == EXITED:
             return
         if before == state:
             return
         run.state = state
-        if before == ORDERED and run.grace is not None:
+        if before == ASSIGNED and run.stop_grace_s is not None:
             self.orders.due(machine)
         if state in (RUNNING, WAITING) and run.running_since == 0.0:
             run.running_since = self.now
             spec = run.job.spec
-            cache = self.tables.types[machine.type].cache_gb
-            machine.remember_image(run.job.image, spec.image_gb, cache)
+            cache = self.cluster.types[machine.type].cache_gb
+            machine.cache_image(run.job.image, spec.image_gb, cache)
         if state != EXITED:
             return
         why = entry.why or "error"
         if why == "done" and run.job.status != CANCELLED:
-            machine.errors.clear()
+            machine.job_errors.clear()
             if run.running_since:
-                self.tables.ran(run.job, self.now - run.running_since)
+                self.cluster.record_run_time(run.job, self.now - run.running_since)
                 self.fleet.health.task_ran(machine, run.job, self.now - run.running_since)
             done.append(run)
             return
@@ -451,25 +456,25 @@
             self.fleet.health.task_failed(machine, run.job)
         elif why in ("no_room", "in_use", "unknown"):
             log.info("%s refused %s: %s", machine.name, run.name, why)
-            run.job.avoid[machine.index] = self.now + (1.0 if why == "unknown" else 3.0)
+            run.job.avoided_machines[machine.index] = self.now + (1.0 if why == "unknown" else 3.0)
         gone.append(run)
 
     def _stray(self, machine: Machine, entry: TaskReport) -> None:
         """An attempt that is none of ours: end it, or let it be forgotten."""
         key = (entry.task, entry.attempt)
         exited = entry.state == workers.EXITED
-        if key not in machine.strays:
+        if key not in machine.unknown_runs:
             log.info("stray %s attempt %d on %s", entry.task, entry.attempt, machine.name)
             self.orders.due(machine)
-        machine.strays[key] = exited
+        machine.unknown_runs[key] = exited
 
     def session_over(self, machine: Machine) -> None:
         """The worker killed and forgot all tasks of its session."""
-        if machine.cell is not None:
-            machine.cell.known = None
+        if machine.fast_path_entry is not None:
+            machine.fast_path_entry.known = None
         runs = list(machine.runs.values())
         machine.runs.clear()
-        machine.strays.clear()
+        machine.unknown_runs.clear()
         freed = [run for run in runs if run.state != EXITED]
         for run in freed:
             run.state = EXITED
@@ -481,13 +486,13 @@
     def probed(self, name: str, report: Report | None) -> None:
         """A silent worker answered a probe, or did not."""
         self.fleet.health.probed(name, report is not None)
-        machine = self.tables.machine(name)
+        machine = self.cluster.machine(name)
         if machine is None or report is None:
             return
-        if machine.foreign:
+        if machine.in_other_shard:
             # Up, though its holder has not said so: no late boot.
             machine.rented_at = self.now
-        elif report.session >= machine.session:
+        elif report.session >= machine.agent_epoch:
             self.observe(machine, report)
 
     # -- time -----------------------------------------------------------------------
@@ -499,7 +504,7 @@
             self.next_tick = now + 0.25
             with self._ticking:
                 self._tick()
-        gap = PLACE_GAP_S + PLACE_GAP_PER_MACHINE_S * len(self.tables.machines)
+        gap = PLACE_GAP_S + PLACE_GAP_PER_MACHINE_S * len(self.cluster.machines)
         wanted = self.dirty and now - self.placed_at >= gap and self._placing.due()
         if wanted and not self.draining and self.authority.may_write(now):
             with self._placing:
@@ -513,21 +518,21 @@
             self.sharing.step(now)
 
     def _tick(self) -> None:
-        for machine in list(self.tables.machines.values()):
+        for machine in list(self.cluster.machines.values()):
             self.hearing.caught_up(machine)
             # A node that slept for 23 s judged 600 leases in its first moment, for nobody.
-            over = machine.runs and machine.lease_until < self.now and machine.session
+            over = machine.runs and machine.lease_until < self.now and machine.agent_epoch
             if over and self.authority.may_answer(self.now):
                 log.info("lease of machine %s ran out", machine.name)
                 self.session_over(machine)
         cancel_s = self.settings.deployment.workers.cancel_s
-        for job in self.tables.jobs.values():
+        for job in self.cluster.jobs.values():
             if not job.runs or not (job.cancel_durable or job.done_durable):
                 continue
             for run in list(job.runs.values()):
-                if run.grace is None:
+                if run.stop_grace_s is None:
                     self.stop(run, 0.0, "over")
-                elif self.now - run.stopped_at > cancel_s * 0.6:
+                elif self.now - run.stop_ordered_at > cancel_s * 0.6:
                     self.fleet.give_up(run.machine, "a cancelled task does not end")
                 elif run.machine.last_heard > self.now - 3 * REORDER_S:
                     self.orders.due(run.machine)
@@ -552,7 +557,7 @@
         self.unsaved_finals = []
         seats = self.seats
         counted = None if seats is None else seats.live()
-        live = records.live_records(self.tables, self.fleet.group_table(), counted)
+        live = records.live_records(self.cluster, self.fleet.group_table(), counted)
         log.info("snapshot: %d records, %d ended jobs", len(live), len(finals))
         if seats is None:
             journal.start_snapshot(live, finals)
@@ -569,27 +574,27 @@
         workers_settings = self.settings.deployment.workers
         heard_after = self.now - 2.5 * workers_settings.report_s - 0.5
         seats = None if self.seats is None else self.seats.begin(self.now)
-        placer = Placer(self.tables, self.now, self.wall, heard_after, self.aims, seats)
+        placer = Placer(self.cluster, self.now, self.wall, heard_after, self.aims, seats)
         result = placer.run(self.operator.preempt)
         for placement in result.placements:
             job, machine = placement.job, placement.machine
             machine.idle_since = 0.0
             runs = [job.runs[task] for task in placement.tasks]
 
-            def durable(runs: list[Run] = runs, machine: Machine = machine) -> None:
+            def durable(runs: list[TaskRun] = runs, machine: Machine = machine) -> None:
                 for run in runs:
-                    run.durable = True
+                    run.assignment_durable = True
                 self.orders.due(machine)
 
             self.write(
                 records.assign_records(
-                    job, placement.attempt, machine, machine.session, placement.tasks, self.wall
+                    job, placement.attempt, machine, machine.agent_epoch, placement.tasks, self.wall
                 ),
                 durable,
             )
         for run in result.victims:
             grace = stop_grace(run)
-            run.grace = None
+            run.stop_grace_s = None
             if run.job.gang:
                 self.stop_gang(run.job, grace, "preempt")
             else:
@@ -603,14 +608,14 @@
     def deleted(self, names: tuple[str, ...], ok: bool) -> None:
         """A deletion answered 200 proves that machine and tasks are gone."""
         for name in names:
-            machine = self.tables.machine(name)
+            machine = self.cluster.machine(name)
             if machine is None:
                 continue
             if not ok:
-                machine.delete_at = self.now + 1.0
+                machine.retry_deletion_at = self.now + 1.0
                 continue
             self.session_over(machine)
-            self.tables.drop_machine(machine)
+            self.cluster.drop_machine(machine)
             self.express.cells.pop(name, None)
             self.fleet.dropped(machine)
             if machine.addr:
@@ -620,8 +625,8 @@
     def delete(self, machines: list[Machine]) -> None:
         """Give machines back; those of one step share a call, for calls are few."""
         for machine in machines:
-            machine.asked_gone = True
-            machine.delete_at = float("inf")
+            machine.deletion_requested = True
+            machine.retry_deletion_at = float("inf")
         self._doomed += [machine.name for machine in machines]
 
     def _flush_deletions(self) -> None:
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -30,7 +30,7 @@
 from appleshift.protocol.wire import ProtocolError
 from appleshift.protocol.workers import Glance
 from appleshift.scheduler.scheduler import Core
-from appleshift.state.cluster_state import Tables
+from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import Store, StoreError, TxnFailedError, recover
 from appleshift.storage.records import Replay, Trail
 from appleshift.storage.write_ahead_log import Journal, share_prefix
@@ -279,7 +279,7 @@
                 return
             if self.leadership.token != term.token:
                 return
-            replay = Replay(Tables(deployment.zones, deployment.teams), _make_trail)
+            replay = Replay(ClusterState(deployment.zones, deployment.teams), _make_trail)
             try:
                 recovered = recover(house.store, replay, prefix)
                 sharing = None
@@ -325,7 +325,7 @@
             self._counted(replay, journal, term),
             sharing,
         )
-        self.served = Served(self.core.tables, self.core.aims, now, house.routines.wall())
+        self.served = Served(self.core.cluster, self.core.aims, now, house.routines.wall())
         self.term = term
         if not self.share:
             self.election.share_sent = self.election.last_share()
@@ -334,8 +334,8 @@
             "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
             f" share {self.share}" if self.share else "",
             term.token,
-            len(replay.tables.jobs),
-            len(replay.tables.machines),
+            len(replay.cluster.jobs),
+            len(replay.cluster.machines),
             (now - began) * 1000,
         )
 
@@ -376,8 +376,8 @@
         """Is this the share that a machine is in, whatever its name says? Asked by the
         routines of connections: a wrong answer costs a moment."""
         core = self.core
-        found = None if core is None else core.tables.machine(machine)
-        return found is not None and not found.foreign
+        found = None if core is None else core.cluster.machine(machine)
+        return found is not None and not found.in_other_shard
 
     def told_by_now(self, job_id: str) -> str | None:
         """What users have been told of a job at least, as far as this node knows."""
@@ -388,8 +388,10 @@
         core = self.core
         if core is None:
             return {"held_here": False}
-        own = sum(1 for machine in list(core.tables.machines.values()) if not machine.foreign)
-        found = {"held_here": True, "jobs": len(core.tables.jobs), "machines": own}
+        own = sum(
+            1 for machine in list(core.cluster.machines.values()) if not machine.in_other_shard
+        )
+        found = {"held_here": True, "jobs": len(core.cluster.jobs), "machines": own}
         return found if core.sharing is None else {**found, **core.sharing.view()}
 
 
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -17,7 +17,7 @@
 from appleshift.protocol import users
 from appleshift.protocol.sharding import Ask, Portion, Standing
 from appleshift.sharding.interfaces import ShareCore
-from appleshift.state.cluster_state import CANCELLED, FINISHED, OPEN, Job, portion_key
+from appleshift.state.cluster_state import CANCELLED, FINISHED, OPEN, Job, partition_key
 from appleshift.state.name_index import from_ranges, to_ranges
 from appleshift.storage import records
 from appleshift.storage.records import Record
@@ -42,7 +42,9 @@
         # As a home: jobs with tasks away, by id; (id, share) that took their portion,
         # that ended it, and how many tasks ran there; who waits for a cancellation.
         self._divided: dict[str, Job] = {
-            job.spec.id: job for job in core.tables.jobs.values() if job.away or job.called_off
+            job.spec.id: job
+            for job in core.cluster.jobs.values()
+            if job.remote_tasks or job.cancel_requested
         }
         self._taken: set[tuple[str, int]] = set()
         self._ended: set[tuple[str, int]] = set()
@@ -66,34 +68,34 @@
         count = spec.tasks // len(takers)
         others = [share for share in takers if share != self._number]
         start = spec.tasks - count * len(others)
-        job.send_away([[share, start + n * count, count] for n, share in enumerate(others)])
+        job.assign_partitions([[share, start + n * count, count] for n, share in enumerate(others)])
         self._divided[spec.id] = job
         return [records.portions_record(job)]
 
     def call_off(self, job: Job, slot: Any) -> None:
         core = self._core
-        if not job.called_off and job.status == OPEN:
+        if not job.cancel_requested and job.status == OPEN:
             # From here on nothing of it starts or counts as done at home.
             job.status = CANCELLED
-            job.called_off = True
+            job.cancel_requested = True
             core.write([records.call_off_record(job)], lambda: self._called_off(job))
         core.hold(slot)
         self._waiting[job.spec.id].append(slot)
 
     def _called_off(self, job: Job) -> None:
         self._core.stop_job(job)
-        for share, _, _ in job.portions:
+        for share, _, _ in job.partitions:
             self._hurry(share)
         self._maybe_cancelled(job)
 
     def _maybe_cancelled(self, job: Job) -> None:
         """Once no share will ever start anything of it, the user may be told."""
         job_id = job.spec.id
-        if not job.called_off or job.cancel_durable:
+        if not job.cancel_requested or job.cancel_durable:
             return
-        if any((job_id, share) not in self._ended for share, _, _ in job.portions):
+        if any((job_id, share) not in self._ended for share, _, _ in job.partitions):
             return
-        job.called_off = False
+        job.cancel_requested = False
         core = self._core
 
         def durable() -> None:
@@ -108,7 +110,7 @@
     def _forget(self, job: Job) -> None:
         """No other share has anything of it any more that matters here."""
         self._divided.pop(job.spec.id, None)
-        for share, _, _ in job.portions:
+        for share, _, _ in job.partitions:
             key = (job.spec.id, share)
             self._taken.discard(key)
             self._ended.discard(key)
@@ -118,16 +120,16 @@
         """By share: portions to be taken, jobs called off, jobs to be told of."""
         found: dict[int, tuple[list[Portion], list[str], list[str]]] = {}
         for job_id, job in list(self._divided.items()):
-            if not job.away and job.status != CANCELLED:
+            if not job.remote_tasks and job.status != CANCELLED:
                 self._forget(job)
                 continue
             # Nobody hears of portions that are not durable yet.
-            for share, start, count in job.portions if job.accepted else ():
+            for share, start, count in job.partitions if job.accepted else ():
                 key = (job_id, share)
-                if key in self._ended or (job.status != OPEN and not job.called_off):
+                if key in self._ended or (job.status != OPEN and not job.cancel_requested):
                     continue
                 portions, called_off, wanted = found.setdefault(share, ([], [], []))
-                if job.called_off:
+                if job.cancel_requested:
                     called_off.append(job_id)
                 elif key in self._taken:
                     wanted.append(job_id)
@@ -137,7 +139,7 @@
 
     def stands(self, share: int, standing: Standing) -> None:
         job = self._divided.get(standing.id)
-        portion = next((p for p in job.portions if p[0] == share), None) if job else None
+        portion = next((p for p in job.partitions if p[0] == share), None) if job else None
         if job is None or portion is None:
             return
         key = (standing.id, share)
@@ -151,8 +153,8 @@
             told = mine if standing.state == FINISHED else from_ranges(standing.done)
             done = [task for task in told if task in mine and not job.done[task]]
             self._running[key] = standing.running
-            job.running_away = sum(
-                self._running.get((standing.id, other), 0) for other, _, _ in job.portions
+            job.remote_running = sum(
+                self._running.get((standing.id, other), 0) for other, _, _ in job.partitions
             )
             if done:
                 self._core.complete(job, done, [])
@@ -169,11 +171,11 @@
 
         What this says may not be durable yet: the answer must wait until it is.
         """
-        tables = self._core.tables
+        cluster = self._core.cluster
         for portion in ask.portions:
-            key = portion_key(portion.spec.id)
-            known = key in tables.finals or key in tables.job_by_id
-            if not known and tables.team_names.get(portion.spec.team) >= 0:
+            key = partition_key(portion.spec.id)
+            known = key in cluster.final_states or key in cluster.job_by_id
+            if not known and cluster.team_names.get(portion.spec.team) >= 0:
                 self._take(portion)
         for job_id in ask.called_off:
             self._end(job_id)
@@ -182,12 +184,14 @@
 
     def _take(self, portion: Portion) -> None:
         core = self._core
-        tables = core.tables
-        job = tables.add_job(tables.next_job, portion.spec, portion.submitted, portion=True)
+        cluster = core.cluster
+        job = cluster.add_job(
+            cluster.next_job_index, portion.spec, portion.submitted, partition=True
+        )
         mine = range(portion.start, portion.start + portion.count)
         others = [task for task in range(portion.spec.tasks) if task not in mine]
         for task in others:
-            tables.finish_task(job, task)
+            cluster.finish_task(job, task)
 
         def durable() -> None:
             job.accepted = True
@@ -197,24 +201,24 @@
 
     def _end(self, job_id: str) -> None:
         """Nothing of this job starts here from now on, not even if it comes later."""
-        core, key = self._core, portion_key(job_id)
-        job = core.tables.job_by_id.get(key)
+        core, key = self._core, partition_key(job_id)
+        job = core.cluster.job_by_id.get(key)
         if job is not None:
             if job.status == OPEN:
                 job.status = CANCELLED
                 core.write([records.cancel_record(job)], lambda: core.cancelled(job))
-        elif key not in core.tables.finals:
-            core.tables.finals[key] = CANCELLED
+        elif key not in core.cluster.final_states:
+            core.cluster.final_states[key] = CANCELLED
             core.unsaved_finals.append((key, CANCELLED))
             core.write([records.final_record(key, CANCELLED)])
 
     def _standing(self, job_id: str) -> Standing | None:
-        tables, key = self._core.tables, portion_key(job_id)
-        final = tables.finals.get(key)
+        cluster, key = self._core.cluster, partition_key(job_id)
+        final = cluster.final_states.get(key)
         if final is not None:
             self._ranges.pop(job_id, None)
             return Standing(job_id, final, [])
-        job = tables.job_by_id.get(key)
+        job = cluster.job_by_id.get(key)
         if job is None:
             return None
         if job.status != OPEN:
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -45,7 +45,7 @@
 
     def digested(self, digest: Digest) -> Plan:
         core = self._core
-        fleet, tables = core.fleet, core.tables
+        fleet, cluster = core.fleet, core.cluster
         last = self._digests.get(digest.share)
         newer = last is None or (digest.token, digest.seq) > (last[1].token, last[1].seq)
         if newer:
@@ -54,7 +54,7 @@
             for each in digest.machines:
                 self._machine(digest.share, each)
             for kind, zone in digest.evicted:
-                market = (tables.type_names.get(kind), tables.zones.get(zone))
+                market = (cluster.type_names.get(kind), cluster.zones.get(zone))
                 if min(market) >= 0:
                     fleet.evict_market(market)
             self._waits(digest.share, digest.waiting > 0)
@@ -67,32 +67,32 @@
                 del moving[name]
         return Plan(
             core.token,
-            tables.types,
+            cluster.types,
             sorted(self._leaving[digest.share])[: cloud.MAX_DELETE],
             fleet.steady_spare.get(False, 0.0) / plain,
             [(name, share) for name, (share, _) in moving.items()],
         )
 
     def _machine(self, share: int, told: MachineNow) -> None:
-        tables, leaving = self._core.tables, self._leaving[share]
-        machine = tables.machine(told.name)
+        cluster, leaving = self._core.cluster, self._leaving[share]
+        machine = cluster.machine(told.name)
         if told.state == MOVED:
             # Where it went says so itself.
             leaving.discard(told.name)
-            if machine is not None and machine.foreign:
+            if machine is not None and machine.in_other_shard:
                 machine.idle_since = 0.0
                 machine.cordoned = False
             self._moving[share].pop(told.name, None)
             return
-        if machine is not None and not machine.foreign:
+        if machine is not None and not machine.in_other_shard:
             # It came back here meanwhile.
             return
         if told.state == GONE:
             leaving.discard(told.name)
             self._share_of.pop(told.name, None)
             self._moving[share].pop(told.name, None)
-            if machine is not None and machine.foreign:
-                tables.drop_machine(machine)
+            if machine is not None and machine.in_other_shard:
+                cluster.drop_machine(machine)
             return
         machine = self._shadow(told.name, told.kind, told.zone, told.spot, share)
         if machine is None:
@@ -106,14 +106,14 @@
 
     def _shadow(self, name: str, kind: str, zone: str, spot: bool, share: int) -> Machine | None:
         """The leader's idea of a machine that another share has."""
-        tables = self._core.tables
-        machine = tables.machine(name)
+        cluster = self._core.cluster
+        machine = cluster.machine(name)
         if machine is None:
-            machine = tables.add_machine(name, kind, zone, spot)
+            machine = cluster.add_machine(name, kind, zone, spot)
             if machine is None:
                 return None
             machine.rented_at = self._core.now
-        machine.foreign = True
+        machine.in_other_shard = True
         machine.status = MACHINE_UP
         self._share_of[name] = share
         return machine
@@ -126,7 +126,7 @@
         if now < self._next_moves:
             return
         self._next_moves = now + DIGEST_S
-        tables = self._core.tables
+        cluster = self._core.cluster
         own = lacking_in(self._core) if 0 in self._map.plain else []
         self._waits(0, bool(own))
         needs = {digest.share: digest.lacking for digest in self._fresh()}
@@ -139,18 +139,23 @@
             return
         under_way = {name for moves in self._moving.values() for name in moves}
         idle = [
-            (0 if not machine.foreign else self._share_of.get(machine.name, 0), machine)
-            for machine in tables.machines.values()
+            (0 if not machine.in_other_shard else self._share_of.get(machine.name, 0), machine)
+            for machine in cluster.machines.values()
             if machine.status == MACHINE_UP
             and machine.idle_since
             and machine.empty()
-            and not (machine.cordoned or machine.asked_gone or machine.draining or machine.sick)
+            and not (
+                machine.cordoned
+                or machine.deletion_requested
+                or machine.draining
+                or machine.quarantined
+            )
             and machine.name not in under_way
         ]
         idle = [
             (share, machine)
             for share, machine in idle
-            if share not in lacking and tables.types[machine.type].gpus <= 0
+            if share not in lacking and cluster.types[machine.type].gpus <= 0
         ]
         for share, found in lacking.items():
             moving = sum(
@@ -162,10 +167,10 @@
                     if missing <= 0 or moving >= MOVES_AT_ONCE:
                         break
                     source, machine = entry
-                    kind = tables.types[machine.type]
+                    kind = cluster.types[machine.type]
                     fits = how_many(kind.cpus, kind.gpus, kind.memory_gb, need)
                     allowed = kind.name in need.kinds and need.spot >= machine.spot
-                    if fits and allowed and tables.zones.names[machine.zone] in need.zones:
+                    if fits and allowed and cluster.zones.names[machine.zone] in need.zones:
                         missing -= fits
                         moving += 1
                         idle.remove(entry)
@@ -176,7 +181,7 @@
 
     def give_back(self, machines: list[Machine]) -> None:
         for machine in machines:
-            kind = self._core.tables.type_names.names[machine.type]
+            kind = self._core.cluster.type_names.names[machine.type]
             share = self._share_of.get(machine.name)
             if share is None:
                 share = self._map.machine(machine.name, kind)
@@ -219,7 +224,7 @@
         return total, fixed
 
     def needs(self, gpus: bool) -> list[Need]:
-        tables = self._core.tables
+        cluster = self._core.cluster
         found = []
         for digest in self._fresh():
             spread_by = len(self._map.plain) if digest.share in self._map.plain else 1
@@ -233,8 +238,8 @@
                         need.memory_gb,
                         need.tasks,
                         need.spot,
-                        [kind.name in need.kinds for kind in tables.types],
-                        [zone for name in need.zones if (zone := tables.zones.get(name)) >= 0],
+                        [kind.name in need.kinds for kind in cluster.types],
+                        [zone for name in need.zones if (zone := cluster.zones.get(name)) >= 0],
                         spread_by,
                     )
                 )
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -14,7 +14,7 @@
 
 from appleshift.protocol.sharding import GivenMachine
 from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
-from appleshift.state.cluster_state import Given
+from appleshift.state.cluster_state import HandedOffMachine
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
@@ -28,35 +28,45 @@
         self._number = number
         # Given away, and not confirmed in this term; not what is not durably given
         # away yet: a successor here would have it still, and so would the other share.
-        self._untold: dict[str, Given] = dict(core.tables.given)
+        self._untold: dict[str, HandedOffMachine] = dict(core.cluster.handed_off)
         self.moved = 0
 
-    def give(self, name: str, share: int) -> Given | None:
+    def give(self, name: str, share: int) -> HandedOffMachine | None:
         """Give a machine away, if nothing can be on it nor come to it any more."""
-        core, tables = self._core, self._core.tables
-        machine = tables.machine(name)
-        if machine is None or machine.foreign or share == self._number or not machine.session:
+        core, cluster = self._core, self._core.cluster
+        machine = cluster.machine(name)
+        if (
+            machine is None
+            or machine.in_other_shard
+            or share == self._number
+            or not machine.agent_epoch
+        ):
             return None
-        if machine.runs or machine.strays or machine.pushing or not machine.usable():
+        if (
+            machine.runs
+            or machine.unknown_runs
+            or machine.commands_in_flight
+            or not machine.schedulable()
+        ):
             return None
         if core.draining or not core.authority.may_write(core.now):
             return None
-        kind, zone = tables.type_names.names[machine.type], tables.zones.names[machine.zone]
-        given = Given(
+        kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
+        given = HandedOffMachine(
             name,
             machine.addr,
             kind,
             zone,
             machine.spot,
             share,
-            machine.moves + 1,
+            machine.transfer_count + 1,
             core.token_for(machine),
         )
         # Out of use from here on: whatever becomes of the record, it is no longer ours
         # to start anything on.
-        tables.forget_machine(machine)
+        cluster.forget_machine(machine)
         core.express.cells.pop(name, None)
-        tables.given[name] = given
+        cluster.handed_off[name] = given
 
         def durable() -> None:
             self._untold[name] = given
@@ -68,23 +78,29 @@
 
     def take(self, told: GivenMachine) -> bool:
         """Take a machine that was handed on; true once it is (or was) this share's."""
-        core, tables = self._core, self._core.tables
-        known, given = tables.machine(told.name), tables.given.get(told.name)
-        if told.name in tables.gone or (given is not None and given.moves >= told.moves):
+        core, cluster = self._core, self._core.cluster
+        known, given = cluster.machine(told.name), cluster.handed_off.get(told.name)
+        if told.name in cluster.deleted_machines or (
+            given is not None and given.transfer_count >= told.moves
+        ):
             return True
-        if known is not None and not known.foreign:
+        if known is not None and not known.in_other_shard:
             return True
         if known is not None:
-            tables.forget_machine(known)
-        machine = tables.add_machine(told.name, told.kind, told.zone, told.spot)
+            cluster.forget_machine(known)
+        machine = cluster.add_machine(told.name, told.kind, told.zone, told.spot)
         if machine is None:
             # Of a type that is not known here yet.
             return False
-        tables.given.pop(told.name, None)
+        cluster.handed_off.pop(told.name, None)
         self._untold.pop(told.name, None)
-        machine.addr, machine.moves, machine.floor = told.addr, told.moves, told.token
+        machine.addr, machine.transfer_count, machine.min_fencing_token = (
+            told.addr,
+            told.moves,
+            told.token,
+        )
         machine.rented_at = machine.idle_since = core.now
-        core.write([records.machine_record(tables, machine)])
+        core.write([records.machine_record(cluster, machine)])
         log.info("machine %s comes from another share", told.name)
         return True
 
@@ -92,7 +108,7 @@
         """By share: machines that it is to take."""
         found: dict[int, list[GivenMachine]] = {}
         for each in self._untold.values():
-            given = found.setdefault(each.share, [])
+            given = found.setdefault(each.shard, [])
             if len(given) < MACHINES_A_CALL:
                 given.append(
                     GivenMachine(
@@ -101,13 +117,13 @@
                         each.type,
                         each.zone,
                         each.spot,
-                        each.moves,
-                        each.token,
+                        each.transfer_count,
+                        each.fencing_token,
                     )
                 )
         return found
 
     def confirmed(self, share: int, name: str) -> None:
         """That share has it, durably."""
-        if (each := self._untold.get(name)) and each.share == share:
+        if (each := self._untold.get(name)) and each.shard == share:
             del self._untold[name]
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -42,7 +42,7 @@
 from appleshift.sharding.shard_assigner import Controller, Steward
 from appleshift.sharding.shard_map import ShareMap, epoch
 from appleshift.sharding.sharding import Sharing
-from appleshift.state.cluster_state import Tables
+from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError, TxnFailedError, recover
 from appleshift.storage.records import Replay
 from appleshift.storage.write_ahead_log import share_prefix
@@ -155,16 +155,16 @@
             if not leaving or leaving & self._busy(replay, leaving):
                 self._adopt(value, version)
                 return
-        kinds = replay.tables.types or self.house.cloud.types()
+        kinds = replay.cluster.types or self.house.cloud.types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
         teams = self.house.settings.deployment.teams
         epochs: list[Epoch] = [] if value is None else value.epochs
         if value is not None:
             version = self._write(term, MapValue(epochs, changing=True), version)
         others = self._others(replay, ShareMap(epochs or [last]).shares)
-        names = {name for tables in others.values() for name in _names(tables)}
-        busy = {share for share, tables in others.items() if tables.jobs and share in last.plain}
-        if value is None and (names or replay.tables.jobs or replay.tables.finals):
+        names = {name for cluster in others.values() for name in _names(cluster)}
+        busy = {share for share, cluster in others.items() if cluster.jobs and share in last.plain}
+        if value is None and (names or replay.cluster.jobs or replay.cluster.final_states):
             epochs = [last]
         new = epoch(wanted, max(names, default=""), cards, teams, busy)
         epochs = [*epochs, new]
@@ -189,20 +189,20 @@
                 return version
             raise
 
-    def _others(self, replay: Replay, shares: int) -> dict[int, Tables]:
+    def _others(self, replay: Replay, shares: int) -> dict[int, ClusterState]:
         """What the logs of all shares say; the first one's is recovered already."""
         deployment = self.house.settings.deployment
-        found = {0: replay.tables}
+        found = {0: replay.cluster}
         for share in range(1, shares):
-            other = Replay(Tables(deployment.zones, deployment.teams))
+            other = Replay(ClusterState(deployment.zones, deployment.teams))
             recover(self.house.store, other, share_prefix(share))
-            found[share] = other.tables
+            found[share] = other.cluster
         return found
 
     def _busy(self, replay: Replay, shares: set[int]) -> set[int]:
         """Which of these shares have work."""
-        tables = self._others(replay, max(shares) + 1)
-        return {share for share in shares if tables[share].jobs}
+        cluster = self._others(replay, max(shares) + 1)
+        return {share for share in shares if cluster[share].jobs}
 
     # -- who holds what ------------------------------------------------------------------
 
@@ -329,9 +329,9 @@
         back.put((200 if answer is not None else 503, answer, 0))
 
 
-def _names(tables: Tables) -> set[str]:
+def _names(cluster: ClusterState) -> set[str]:
     """Machines that were ever in use."""
-    return {*tables.machine_names.names, *tables.gone}
+    return {*cluster.machine_names.names, *cluster.deleted_machines}
 
 
 class _Back:
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -25,25 +25,25 @@
 from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
 from appleshift.sharding.machine_transfer import Handing
 from appleshift.state.cluster_state import UP as MACHINE_UP
-from appleshift.state.cluster_state import Tables
+from appleshift.state.cluster_state import ClusterState
 
 log = logging.getLogger(__name__)
 
 NEEDS = 40
 
 
-def told_need(tables: Tables, need: Need) -> NeedNow:
+def told_need(cluster: ClusterState, need: Need) -> NeedNow:
     """As it is told to another node, by names."""
-    kinds = [kind.name for kind, ok in zip(tables.types, need.kinds, strict=True) if ok]
-    zones = [tables.zones.names[zone] for zone in need.zones]
+    kinds = [kind.name for kind, ok in zip(cluster.types, need.kinds, strict=True) if ok]
+    zones = [cluster.zones.names[zone] for zone in need.zones]
     return NeedNow(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
 
 
 def lacking(core: ShareCore) -> list[NeedNow]:
     """What waits for room, the most urgent first."""
-    tables = core.tables
+    cluster = core.cluster
     some = core.fleet.shortages[:NEEDS]
-    return [told_need(tables, need_of(tables, shortage)) for shortage in some]
+    return [told_need(cluster, need_of(cluster, shortage)) for shortage in some]
 
 
 class Reporting:
@@ -62,45 +62,48 @@
         self._flying_evicted: set[tuple[str, str]] = set()
 
     def evicted(self, kind: int, zone: int) -> None:
-        names = self._core.tables
+        names = self._core.cluster
         self._evicted.add((names.type_names.names[kind], names.zones.names[zone]))
 
     def digest(self, now: float) -> Digest:
         """What the leader is to be told now."""
-        core, tables = self._core, self._core.tables
+        core, cluster = self._core, self._core.cluster
         self._seq += 1
         changed: list[MachineNow] = []
-        for machine in tables.machines.values():
+        for machine in cluster.machines.values():
             if machine.status != MACHINE_UP:
                 continue
-            state = UP if machine.usable() else LEAVING
-            idle = not machine.runs and not machine.strays
+            state = UP if machine.schedulable() else LEAVING
+            idle = not machine.runs and not machine.unknown_runs
             if self._said.get(machine.name) != (state, idle):
-                kind, zone = tables.type_names.names[machine.type], tables.zones.names[machine.zone]
+                kind, zone = (
+                    cluster.type_names.names[machine.type],
+                    cluster.zones.names[machine.zone],
+                )
                 changed.append(MachineNow(machine.name, kind, zone, machine.spot, state, idle))
             if len(changed) >= MACHINES_A_CALL:
                 break
-        for name in [name for name in self._said if tables.machine(name) is None]:
-            state = MOVED if name in tables.given else GONE
+        for name in [name for name in self._said if cluster.machine(name) is None]:
+            state = MOVED if name in cluster.handed_off else GONE
             changed.append(MachineNow(name, "", "", False, state, False))
         self._flying = {each.name: (each.state, each.idle) for each in changed}
         self._flying_evicted = set(self._evicted)
-        pools = [Pool(core.fleet, gpus) for gpus in (False, True)] if tables.types else []
+        pools = [Pool(core.fleet, gpus) for gpus in (False, True)] if cluster.types else []
         return Digest(
             self._number,
             core.token,
             self._seq,
             changed,
             [[*pool.sums(now)] for pool in pools],
-            [told_need(tables, need) for pool in pools for need in pool.needs()][:NEEDS],
+            [told_need(cluster, need) for pool in pools for need in pool.needs()][:NEEDS],
             lacking(core),
             sorted(self._evicted),
-            len(tables.jobs),
+            len(cluster.jobs),
             sum(shortage.tasks for shortage in core.fleet.shortages),
         )
 
     def planned(self, plan: Plan) -> None:
-        core, tables = self._core, self._core.tables
+        core, cluster = self._core, self._core.cluster
         for name, said in self._flying.items():
             if said[0] in (GONE, MOVED):
                 self._said.pop(name, None)
@@ -117,8 +120,12 @@
         core.fleet.steady_spare[False] = plan.spare
         for name, share in plan.hand_on:
             self._handing.give(name, share)
-        leaving = [machine for name in plan.give_back if (machine := tables.machine(name))]
-        leaving = [each for each in leaving if not (each.runs or each.strays or each.asked_gone)]
+        leaving = [machine for name in plan.give_back if (machine := cluster.machine(name))]
+        leaving = [
+            each
+            for each in leaving
+            if not (each.runs or each.unknown_runs or each.deletion_requested)
+        ]
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
         if leaving:
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -76,7 +76,7 @@
             return 0
         plain = (
             kind
-            for kind in self._core.tables.types
+            for kind in self._core.cluster.types
             if kind.name not in self._map.cards and (spec.types is None or kind.name in spec.types)
         )
         return self.number if any(type_fits(kind, spec) for kind in plain) else 0
@@ -156,7 +156,7 @@
         if not self.number:
             self._overview.step(now)
         elif 0 not in self._calling and now >= self._next_ask[0]:
-            again_s = DIGEST_S if core.tables.types else EARLY_S
+            again_s = DIGEST_S if core.cluster.types else EARLY_S
             self._call(0, self._reporting.digest(now), again_s)
 
     def view(self) -> dict[str, Any]:
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -14,7 +14,14 @@
 
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import CANCELLED, FINISHED, Given, Job, Machine, Tables
+from appleshift.state.cluster_state import (
+    CANCELLED,
+    FINISHED,
+    ClusterState,
+    HandedOffMachine,
+    Job,
+    Machine,
+)
 from appleshift.state.name_index import from_ranges, to_ranges
 
 Record = list[Any]
@@ -79,7 +86,7 @@
 
 def _at(job: Job, wall: float | None) -> tuple[float, ...]:
     """When seats changed hands; what holds none has no such time."""
-    return () if wall is None or not job.seats else (round(wall, 3),)
+    return () if wall is None or not job.counted_needs else (round(wall, 3),)
 
 
 def cancel_record(job: Job) -> Record:
@@ -88,7 +95,7 @@
 
 def portions_record(job: Job) -> Record:
     """Which tasks of the job other shares run."""
-    return [PORTIONS, job.index, [[*portion] for portion in job.portions]]
+    return [PORTIONS, job.index, [[*portion] for portion in job.partitions]]
 
 
 def call_off_record(job: Job) -> Record:
@@ -111,13 +118,17 @@
     return [[TYPES, msgspec.to_builtins(kind)] for kind in types]
 
 
-def machine_record(tables: Tables, machine: Machine) -> Record:
-    kind, zone = tables.type_names.names[machine.type], tables.zones.names[machine.zone]
+def machine_record(cluster: ClusterState, machine: Machine) -> Record:
+    kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
     record = [MACHINE, machine.name, machine.addr, kind, zone, machine.spot]
-    return [*record, machine.moves, machine.floor] if machine.moves else record
+    return (
+        [*record, machine.transfer_count, machine.min_fencing_token]
+        if machine.transfer_count
+        else record
+    )
 
 
-def given_record(given: Given) -> Record:
+def given_record(given: HandedOffMachine) -> Record:
     """A machine without any task was handed on to another share."""
     return [GIVEN, *astuple(given)]
 
@@ -147,8 +158,10 @@
     number of entries that pages of the audit hold.
     """
 
-    def __init__(self, tables: Tables, make_trail: Callable[[int], Trail] | None = None) -> None:
-        self.tables = tables
+    def __init__(
+        self, cluster: ClusterState, make_trail: Callable[[int], Trail] | None = None
+    ) -> None:
+        self.cluster = cluster
         self.make_trail = make_trail
         self.trail: Trail | None = None
         self.audit_written = 0
@@ -163,7 +176,7 @@
 
     def finals(self, records: list[Record]) -> None:
         for job_id, status in records:
-            self.tables.finals[job_id] = status
+            self.cluster.final_states[job_id] = status
 
     def apply(self, records: list[Record]) -> None:
         for record in records:
@@ -171,56 +184,56 @@
 
     def _apply(self, record: Record) -> None:
         kind = record[0]
-        tables = self.tables
+        cluster = self.cluster
         if self.trail is not None:
             self.trail.apply(record)
         if kind == JOB:
             _, index, submitted, values, *portion = record
             spec = Submission(**dict(zip(_SPEC_FIELDS, values, strict=False)))
-            job = tables.add_job(index, spec, submitted, bool(portion))
+            job = cluster.add_job(index, spec, submitted, bool(portion))
             job.accepted = True
             if not portion:
                 self.arrivals.append((submitted, spec))
             return
         if kind == TYPES:
-            tables.set_types([msgspec.convert(record[1], MachineType)])
+            cluster.set_types([msgspec.convert(record[1], MachineType)])
             return
         if kind == GROUPS:
             self.groups = record[1]
             return
         if kind == MACHINE:
             _, name, addr, type_name, zone, spot, *moved = record
-            tables.given.pop(name, None)
-            machine = tables.add_machine(name, type_name, zone, spot)
+            cluster.handed_off.pop(name, None)
+            machine = cluster.add_machine(name, type_name, zone, spot)
             if machine is not None:
                 machine.addr = addr
-                machine.moves, machine.floor = moved or (0, 0)
+                machine.transfer_count, machine.min_fencing_token = moved or (0, 0)
             return
         if kind == GIVEN:
-            given = Given(*record[1:])
-            machine = tables.machine(given.name)
+            given = HandedOffMachine(*record[1:])
+            machine = cluster.machine(given.name)
             if machine is not None:
-                tables.forget_machine(machine)
-            tables.given[given.name] = given
+                cluster.forget_machine(machine)
+            cluster.handed_off[given.name] = given
             return
         if kind == GONE:
-            machine = tables.machine(record[1])
+            machine = cluster.machine(record[1])
             if machine is not None:
-                tables.drop_machine(machine)
+                cluster.drop_machine(machine)
             return
         if kind == SEATS:
             self._seats(record)
             return
         if kind == NEXT:
-            tables.next_job = max(tables.next_job, record[1])
+            cluster.next_job_index = max(cluster.next_job_index, record[1])
             return
         if kind == FINAL:
             _, job_id, final = record
-            tables.finals[job_id] = final
+            cluster.final_states[job_id] = final
             self.unsaved_finals.append((job_id, final))
             return
         index = record[1]
-        known = tables.jobs.get(index)
+        known = cluster.jobs.get(index)
         if known is None:
             return
         job = known
@@ -228,32 +241,32 @@
             _, _, attempt, machine, session, ranges, *_ = record
             for task in from_ranges(ranges):
                 self.places[(index, task)] = (attempt, machine, session)
-            job.attempt = max(job.attempt, attempt)
+            job.last_attempt = max(job.last_attempt, attempt)
         elif kind == FREE:
             for task in from_ranges(record[2]):
                 self.places.pop((index, task), None)
         elif kind == DONE:
             for task in from_ranges(record[2]):
-                tables.finish_task(job, task)
+                cluster.finish_task(job, task)
             if job.done_count == job.spec.tasks:
                 job.status = FINISHED
                 job.done_durable = True
         elif kind == PORTIONS:
-            job.send_away(record[2])
+            job.assign_partitions(record[2])
         elif kind == CALL_OFF:
             job.status = CANCELLED
-            job.called_off = True
+            job.cancel_requested = True
         elif kind == CANCEL:
             if job.status != FINISHED:
                 job.status = CANCELLED
                 job.cancel_durable = True
-                job.called_off = False
+                job.cancel_requested = False
         elif kind == END:
             job.status = record[2]
             for task in range(job.spec.tasks):
                 self.places.pop((index, task), None)
             self.unsaved_finals.append((job.key, job.status))
-            tables.retire(job)
+            cluster.retire(job)
 
     def _seats(self, record: Record) -> None:
         if self.trail is None and self.make_trail is not None:
@@ -266,36 +279,38 @@
             self.seats[name] = definition
 
 
-def live_records(tables: Tables, groups: Any, seats: list[Record] | None = None) -> list[Record]:
+def live_records(
+    cluster: ClusterState, groups: Any, seats: list[Record] | None = None
+) -> list[Record]:
     """Records that rebuild the live state, for a snapshot."""
     # What is counted comes first: jobs are read by it.
-    records = (seats or []) + types_record(tables.types)
+    records = (seats or []) + types_record(cluster.types)
     if groups is not None:
         records.append([GROUPS, groups])
     # Ended jobs' numbers stay used: the log after the snapshot may name them.
-    records.append([NEXT, tables.next_job])
-    for machine in tables.machines.values():
+    records.append([NEXT, cluster.next_job_index])
+    for machine in cluster.machines.values():
         if machine.addr:
-            records.append(machine_record(tables, machine))
-    records += [given_record(given) for given in tables.given.values()]
-    for job in tables.jobs.values():
+            records.append(machine_record(cluster, machine))
+    records += [given_record(given) for given in cluster.handed_off.values()]
+    for job in cluster.jobs.values():
         records.append(job_record(job))
-        if job.portions:
+        if job.partitions:
             records.append(portions_record(job))
         # Where tasks may be, attempt by attempt and machine by machine.
         by_place: dict[tuple[int, int, int], list[int]] = {}
         for task, run in job.runs.items():
-            key = (run.attempt, run.machine.index, run.session)
+            key = (run.attempt, run.machine.index, run.agent_epoch)
             by_place.setdefault(key, []).append(task)
         for (attempt, _, session), tasks in by_place.items():
             records += assign_records(job, attempt, job.runs[tasks[0]].machine, session, tasks)
-        if job.attempt > max((attempt for attempt, _, _ in by_place), default=0):
+        if job.last_attempt > max((attempt for attempt, _, _ in by_place), default=0):
             # Attempts that are over stay used, too: a number that names two of
             # them names two holders of a seat.
-            records.append([ASSIGN, job.index, job.attempt, "", 0, []])
+            records.append([ASSIGN, job.index, job.last_attempt, "", 0, []])
         done = [task for task in range(job.spec.tasks) if job.done[task]]
         records += done_records(job, done)
-        if job.called_off:
+        if job.cancel_requested:
             records.append(call_off_record(job))
         elif job.status == CANCELLED:
             records.append(cancel_record(job))
