--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -8,7 +8,7 @@
 from appleshift.api.forwarding import Forwarder
 from appleshift.contracts import events
 from appleshift.protocol import users
-from appleshift.storage.key_value_store import Store, StoreError
+from appleshift.storage.key_value_store import KeyValueStore, StoreError
 from appleshift.storage.write_ahead_log import audit_key
 from appleshift.transport.concurrency import RateBudget
 from appleshift.transport.server import Request, Response
@@ -25,7 +25,7 @@
         self,
         context: RoutingContext,
         forwarder: Forwarder,
-        store: Store,
+        store: KeyValueStore,
         hears: Callable[[], int],
     ) -> None:
         self._context = context
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -22,7 +22,7 @@
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
-from appleshift.storage.key_value_store import Store
+from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import Caller
 from appleshift.transport.concurrency import Routines
 from appleshift.transport.server import Request, Response
@@ -41,7 +41,7 @@
         load: Callable[[], float],
         reaches: Callable[[str], bool],
         routines: Routines,
-        store: Store,
+        store: KeyValueStore,
         hears: Callable[[], int] = lambda: 0,
         hello: Callable[[], peers.Hello | None] = lambda: None,
         share_map: Callable[[], ShareMapView | None] = lambda: None,
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -21,7 +21,7 @@
 from appleshift.protocol.workers import Report
 from appleshift.state.cluster_state import ClusterState, Machine, TaskRun
 from appleshift.storage.records import Record
-from appleshift.storage.write_ahead_log import Journal
+from appleshift.storage.write_ahead_log import WriteAheadLog
 
 
 class Authority(Protocol):
@@ -49,7 +49,7 @@
     operator: OperatorSettings
     authority: Authority
     cluster: ClusterState
-    journal: Journal
+    journal: WriteAheadLog
     effects: deque[Effect]
     aims: Aims
     seats: Seats | None
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -20,8 +20,8 @@
 from appleshift.protocol.wire import MAX_BODY, json_size
 from appleshift.state.cluster_state import OPEN, Job
 from appleshift.storage import records
-from appleshift.storage.records import Record, Replay
-from appleshift.storage.write_ahead_log import Journal
+from appleshift.storage.records import LogReplayer, Record
+from appleshift.storage.write_ahead_log import WriteAheadLog
 
 log = logging.getLogger(__name__)
 
@@ -38,8 +38,8 @@
         self,
         definitions: Iterable[SeatDefinition],
         rules: SeatRules,
-        replay: Replay,
-        journal: Journal,
+        replay: LogReplayer,
+        journal: WriteAheadLog,
         token: int,
         wall: float,
     ) -> None:
@@ -47,18 +47,20 @@
         self.rules = rules
         self._journal = journal
         self.trail = _trail_of(replay, journal)
-        journal.watch = self.trail.apply
+        journal.on_record_durable = self.trail.apply
         self._next_look = 0.0
         for definition in definitions:
             server = definition.server
             account = None if server is None else Account(definition.name, server, token)
             self.define(definition, account)
-            if replay.seats.get(definition.name) != to_record(definition):
-                record = records.seats_record(definition.name, to_record(definition), wall)
+            if replay.counted_resources.get(definition.name) != to_record(definition):
+                record = records.counted_resource_record(
+                    definition.name, to_record(definition), wall
+                )
                 journal.append(record)
-        for name in replay.seats.keys() - set(self.names.names):
+        for name in replay.counted_resources.keys() - set(self.names.names):
             log.info("resource %s is no longer counted", name)
-            journal.append(records.seats_record(name, None, wall))
+            journal.append(records.counted_resource_record(name, None, wall))
 
     def adopt(self) -> None:
         """Before assignments are recovered: from now on each of them counts."""
@@ -126,13 +128,13 @@
     def live(self) -> list[Record]:
         # Time 0: no change, so no entry of the audit.
         return [
-            records.seats_record(each.name, to_record(each.definition), 0.0)
+            records.counted_resource_record(each.name, to_record(each.definition), 0.0)
             for each in self.resources
             if each.definition is not None
         ]
 
     def audit(self) -> list[list[Any]]:
-        self.trail.saved(self._journal.meta.audit[2])
+        self.trail.saved(self._journal.header.audit_pages[2])
         return list(self.trail.tail)
 
     @property
@@ -155,7 +157,7 @@
     def history(self, after: int) -> dict[str, Any]:
         """The audit's entries above a number that no page holds yet, as many as an
         answer takes, and which pages hold what came before."""
-        first, following, written = self._journal.meta.audit
+        first, following, written = self._journal.header.audit_pages
         self.trail.saved(written)
         entries: list[list[Any]] = []
         size = 0
@@ -170,23 +172,23 @@
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
-def _trail_of(replay: Replay, journal: Journal) -> Trail:
+def _trail_of(replay: LogReplayer, journal: WriteAheadLog) -> Trail:
     """The trail that followed the log, or a new one where nothing was counted yet."""
-    if isinstance(replay.trail, Trail):
-        return replay.trail
-    trail = Trail(journal.meta.audit[2])
+    if isinstance(replay.audit_log, Trail):
+        return replay.audit_log
+    trail = Trail(journal.header.audit_pages[2])
     for job in replay.cluster.jobs.values():
         if job.spec.seats is not None:
             trail.apply(records.job_record(job))
-    for (index, task), (attempt, machine, session) in replay.places.items():
+    for (index, task), (attempt, machine, session) in replay.task_locations.items():
         trail.apply([records.ASSIGN, index, attempt, machine, session, [task, task]])
     return trail
 
 
 def build(
     operator: OperatorSettings,
-    replay: Replay,
-    journal: Journal,
+    replay: LogReplayer,
+    journal: WriteAheadLog,
     token: int,
     wall: float,
 ) -> SeatsPart | None:
@@ -198,12 +200,12 @@
     rules = operator.seat_rules or SeatRules()
     definitions = list(operator.seats)
     if not definitions and not rules.off:
-        definitions = [from_record(record) for record in replay.seats.values()]
+        definitions = [from_record(record) for record in replay.counted_resources.values()]
         if definitions:
             log.info("counting %d resources as the log has them", len(definitions))
     if rules.off:
         definitions = []
-    if not definitions and not replay.seats:
+    if not definitions and not replay.counted_resources:
         return None
     for definition in definitions:
         for team in definition.teams:
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -11,7 +11,12 @@
 from appleshift.protocol import kv, peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.storage.key_value_store import LeaseGoneError, Store, StoreError, TxnFailedError
+from appleshift.storage.key_value_store import (
+    CompareFailedError,
+    KeyValueStore,
+    LeaseExpiredError,
+    StoreError,
+)
 from appleshift.transport.client import Caller, ClientError
 from appleshift.transport.concurrency import Routines
 
@@ -60,7 +65,7 @@
     def __init__(
         self,
         name: str,
-        store: Store,
+        store: KeyValueStore,
         siblings: dict[str, Caller],
         leadership: Leadership,
         operator: OperatorSettings,
@@ -123,7 +128,7 @@
         self._stop.set()
         if self.leadership.leading:
             self.leadership.lost()
-            self.store.drop_lease(self._lease)
+            self.store.revoke_lease(self._lease)
 
     def depose(self) -> None:
         """A guarded write failed: somebody else leads, or nobody does."""
@@ -253,7 +258,7 @@
         # Read as a page, which says the service's revision. A watch from the
         # key's own is refused once enough other changes have followed: then
         # every follower of a long term asked as fast as its rate allowed.
-        page = self.store.page(self.key, "", 1)
+        page = self.store.read_page(self.key, "", 1)
         if not page.items:
             self.leader = None
             now = self._now()
@@ -290,12 +295,12 @@
         if item is None or _named(item).get("name") != self.name:
             return
         if isinstance(item.lease, int):
-            self.store.drop_lease(item.lease)
+            self.store.revoke_lease(item.lease)
 
     def _settle(self) -> None:
         """An attempt without an answer may yet be applied, until its lease ends."""
         assert self._stale_lease is not None
-        if self.store.drop_lease(self._stale_lease):
+        if self.store.revoke_lease(self._stale_lease):
             self._stale_lease = None
             self.leadership.end_standing(settled=True)
 
@@ -310,7 +315,7 @@
         lease: int | None = None
         try:
             sent = self._now()
-            lease = self.store.grant(self.operator.leader_lease_s)
+            lease = self.store.grant_lease(self.operator.leader_lease_s)
             item = self.store.get(TOKEN_KEY)
             version = 0 if item is None else item.version
             token = 1 if item is None else int(item.value["token"]) + 1
@@ -329,13 +334,13 @@
             ]
             settled = False
             try:
-                revision = self.store.txn(guards, changes)
-            except (TxnFailedError, LeaseGoneError) as error:
+                revision = self.store.compare_and_swap(guards, changes)
+            except (CompareFailedError, LeaseExpiredError) as error:
                 settled = True
                 log.debug("not elected: %s", error)
                 # Somebody else was: see who, without a pause.
                 lapsed = {key for key, _ in also}
-                return isinstance(error, TxnFailedError) and not lapsed & {*error.failed}
+                return isinstance(error, CompareFailedError) and not lapsed & {*error.failed}
             except StoreError as error:
                 settled = error.refused
                 raise
@@ -355,7 +360,7 @@
                 if not settled:
                     self._stale_lease = lease
                 elif lease is not None:
-                    self.store.drop_lease(lease)
+                    self.store.revoke_lease(lease)
                 self.leadership.end_standing(settled)
 
     def _renew(self) -> None:
@@ -365,8 +370,8 @@
         sent = self._now()
         try:
             timeout = max(0.3, self.operator.leader_lease_s / 2)
-            self.store.renew(self._lease, timeout)
-        except LeaseGoneError:
+            self.store.renew_lease(self._lease, timeout)
+        except LeaseExpiredError:
             self._lose("the lease ended")
             return
         except StoreError as error:
@@ -390,7 +395,7 @@
         self._handed.clear()
         self._trouble.clear()
         self._on_lost()
-        self.store.drop_lease(self._lease)
+        self.store.revoke_lease(self._lease)
 
     # -- one routine for each sibling ------------------------------------------------
 
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -7,8 +7,13 @@
 from typing import Any
 
 from appleshift.contracts import events
-from appleshift.storage.key_value_store import LeaseGoneError, Store, StoreError, TxnFailedError
-from appleshift.storage.write_ahead_log import Txn
+from appleshift.storage.key_value_store import (
+    CompareFailedError,
+    KeyValueStore,
+    LeaseExpiredError,
+    StoreError,
+)
+from appleshift.storage.write_ahead_log import Transaction
 from appleshift.transport.concurrency import Routines
 
 log = logging.getLogger(__name__)
@@ -21,7 +26,7 @@
 
     def __init__(
         self,
-        store: Store,
+        store: KeyValueStore,
         post: Callable[[events.Event], None],
         current: Callable[[], Any],
         routines: Routines,
@@ -42,7 +47,7 @@
         self._stop.set()
         self._queue.put(None)
 
-    def send(self, txn: Txn, term: Any) -> None:
+    def send(self, txn: Transaction, term: Any) -> None:
         self._queue.put((txn, term))
 
     def _run(self) -> None:
@@ -52,20 +57,20 @@
                 return
             self._settle(*entry)
 
-    def _settle(self, txn: Txn, term: Any) -> None:
+    def _settle(self, txn: Transaction, term: Any) -> None:
         """Send it again and again: its guards make a second execution fail."""
         while not self._stop.is_set() and self._current() is term:
             try:
-                revision = self._store.txn(txn.guards, txn.changes)
+                revision = self._store.compare_and_swap(txn.guards, txn.changes)
                 self._post(events.Committed(term, revision))
                 return
-            except TxnFailedError as error:
-                if txn.probe and self._applied(txn, term):
+            except CompareFailedError as error:
+                if txn.probe_key and self._applied(txn, term):
                     return
                 log.info("deposed: guards failed on %s", error)
                 self._post(events.Deposed(term))
                 return
-            except LeaseGoneError as error:
+            except LeaseExpiredError as error:
                 log.error("the state service calls a transaction malformed: %s", error)
                 self._post(events.Deposed(term))
                 return
@@ -74,11 +79,11 @@
                 self._post(events.Stalled(term))
             self._stop.wait(RETRY_S)
 
-    def _applied(self, txn: Txn, term: Any) -> bool:
+    def _applied(self, txn: Transaction, term: Any) -> bool:
         """Was it an earlier copy of this transaction that got through?"""
         while not self._stop.is_set() and self._current() is term:
             try:
-                item = self._store.get(txn.probe)
+                item = self._store.get(txn.probe_key)
             except StoreError:
                 self._stop.wait(RETRY_S)
                 continue
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -93,7 +93,7 @@
     def types(self, types: list[MachineType]) -> None:
         self._units.clear()
         if self.cluster.set_types(types):
-            self.core.write(records.types_record(self.cluster.types))
+            self.core.write(records.machine_type_records(self.cluster.types))
             self.core.dirty = True
         self.types_at = self.core.now
 
@@ -351,7 +351,7 @@
         if table != self._written_groups and now - self._groups_at >= 1.0:
             self._written_groups = table
             self._groups_at = now
-            self.core.journal.append([records.GROUPS, table])
+            self.core.journal.append([records.SPOT_GROUPS, table])
 
     def _review(self, now: float) -> None:
         if not self.list_seen and now - self.started < 5.0:
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -26,7 +26,7 @@
 from appleshift.protocol.settings import Settings, split_address
 from appleshift.scheduler.scheduler import Core
 from appleshift.shard_replica import Holding, House
-from appleshift.storage.key_value_store import Store
+from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import Caller, HttpClient
 from appleshift.transport.concurrency import Routines, Threads
 from appleshift.transport.server import Listener
@@ -68,7 +68,7 @@
         }
         # All nodes share the rate; so does whoever else leads or stands by mistake.
         share = 0.9 / max(3, len(siblings) + 1)
-        self.store = Store(
+        self.store = KeyValueStore(
             connect(split_address(settings.external.state)), deployment.state.rps * share, routines
         )
         self._capacity = capacity = Capacity.of(deployment.machine_limits, operator.shares > 1)
@@ -100,7 +100,7 @@
         self.keeper: Keeper | None = None
         self.reach = Reach(
             self.workers.reaches,
-            lambda: self.store.answers,
+            lambda: self.store.is_answering,
             lambda: any(each.leadership.leading for each in [*self.holdings.values()]),
             lambda: self._post(events.GiveUp()),
             siblings,
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -129,7 +129,7 @@
         def durable() -> None:
             cluster.final_states[spec.id] = final
 
-        core.write([records.final_record(spec.id, final)], durable)
+        core.write([records.final_state_record(spec.id, final)], durable)
         core.unsaved_finals.append((spec.id, final))
         core.reply_durable(slot, 421, {"share": share})
 
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -46,8 +46,8 @@
     TaskRun,
 )
 from appleshift.storage import records
-from appleshift.storage.records import Record, Replay
-from appleshift.storage.write_ahead_log import Journal
+from appleshift.storage.records import LogReplayer, Record
+from appleshift.storage.write_ahead_log import WriteAheadLog
 
 log = logging.getLogger(__name__)
 
@@ -78,8 +78,8 @@
         operator: OperatorSettings,
         authority: Authority,
         token: int,
-        replay: Replay,
-        journal: Journal,
+        replay: LogReplayer,
+        journal: WriteAheadLog,
         clock: Callable[[], float],
         wall: float,
         seats: Seats | None = None,
@@ -106,7 +106,7 @@
         self.next_tick = now
         self._placing = Pace(clock, PLACE_SHARE)
         self._ticking = Pace(clock, TICK_SHARE)
-        self.unsaved_finals = list(replay.unsaved_finals)
+        self.unsaved_finals = list(replay.unsaved_final_states)
         self.worker_lease_s = settings.deployment.workers.lease_s * DRIFT + LEASE_MARGIN_S
         self.orders = Orders(self)
         self.aims = Aims(settings.deployment.objectives)
@@ -121,12 +121,12 @@
             sharing.serve(self)
         self._restore(replay, wall)
 
-    def _restore(self, replay: Replay, wall: float) -> None:
+    def _restore(self, replay: LogReplayer, wall: float) -> None:
         """Known assignments stay where they are until there is proof."""
         cluster = self.cluster
         if self.seats is not None:
             self.seats.adopt()
-        for (index, task), (attempt, name, session) in replay.places.items():
+        for (index, task), (attempt, name, session) in replay.task_locations.items():
             job = cluster.jobs.get(index)
             machine = cluster.machine(name)
             if job is None or job.done[task]:
@@ -619,7 +619,7 @@
             self.express.cells.pop(name, None)
             self.fleet.dropped(machine)
             if machine.addr:
-                self.journal.append(records.gone_record(machine))
+                self.journal.append(records.machine_deleted_record(machine))
         self.dirty = True
 
     def delete(self, machines: list[Machine]) -> None:
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -31,9 +31,14 @@
 from appleshift.protocol.workers import Glance
 from appleshift.scheduler.scheduler import Core
 from appleshift.state.cluster_state import ClusterState
-from appleshift.storage.key_value_store import Store, StoreError, TxnFailedError, recover
-from appleshift.storage.records import Replay, Trail
-from appleshift.storage.write_ahead_log import Journal, share_prefix
+from appleshift.storage.key_value_store import (
+    CompareFailedError,
+    KeyValueStore,
+    StoreError,
+    recover,
+)
+from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.write_ahead_log import WriteAheadLog, shard_prefix
 from appleshift.transport.client import Caller, ClientError
 from appleshift.transport.concurrency import Routines
 
@@ -49,7 +54,7 @@
 class Keeper(Protocol):
     """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
-    def sharing(self, term: Term, replay: Replay) -> Sharing | None:
+    def sharing(self, term: Term, replay: LogReplayer) -> Sharing | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -67,7 +72,7 @@
     settings: Settings
     operator: OperatorSettings
     routines: Routines
-    store: Store
+    store: KeyValueStore
     siblings: dict[str, Caller]
     connect: Callable[[tuple[str, int]], Caller]
     post: Callable[[events.Event], None]
@@ -213,7 +218,7 @@
         if self.served is not None:
             self.served.step(now, routines.wall())
         if self.leadership.may_write(now):
-            txn = core.journal.next_txn(now)
+            txn = core.journal.next_transaction(now)
             if txn is not None:
                 self.committer.send(txn, self.term)
         if core.seats is not None and self.leadership.may_answer(now):
@@ -221,7 +226,7 @@
         for effect in core.take_effects():
             self._carry_out(core, effect)
         if self._drain_since is not None and (
-            core.journal.settled() or now - self._drain_since > DRAIN_S
+            core.journal.is_idle() or now - self._drain_since > DRAIN_S
         ):
             self._drain_since = None
             self.election.hand_over()
@@ -273,20 +278,20 @@
         house = self.house
         deployment = house.settings.deployment
         began = house.routines.now()
-        prefix = share_prefix(self.share)
+        prefix = shard_prefix(self.share)
         while True:
             if house.stop.is_set() or not self.leadership.leading:
                 return
             if self.leadership.token != term.token:
                 return
-            replay = Replay(ClusterState(deployment.zones, deployment.teams), _make_trail)
+            replay = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_trail)
             try:
                 recovered = recover(house.store, replay, prefix)
                 sharing = None
                 if house.keeper is not None:
                     sharing = house.keeper.sharing(term, replay)
                 break
-            except TxnFailedError as error:
+            except CompareFailedError as error:
                 log.info("deposed in recovery: guards failed on %s", error)
                 self.election.depose()
                 return
@@ -296,22 +301,22 @@
         now = house.routines.now()
         limits = deployment.state
         parts = 1 if sharing is None else sharing.shares
-        journal = Journal(
+        journal = WriteAheadLog(
             leader_key=self.election.key,
             leader_version=term.version,
-            term_mark=term.mark,
+            term_id=term.mark,
             write_rps=max(1.0, limits.write_rps * house.operator.write_share / parts),
             value_bytes=int(limits.value_kb * 1024),
-            txn_ops=limits.txn_ops,
-            meta=recovered.meta,
-            meta_version=recovered.meta_version,
-            next_log=recovered.next_log,
+            max_transaction_ops=limits.txn_ops,
+            header=recovered.header,
+            header_version=recovered.header_version,
+            next_entry=recovered.next_entry,
             log_bytes=recovered.log_bytes,
             now=now,
             prefix=prefix,
-            also_guard=term.also,
+            extra_guards=term.also,
         )
-        journal.sweep(recovered.leftovers)
+        journal.remove_keys(recovered.orphaned_keys)
         self._drain_since = None
         self.core = Core(
             house.settings,
@@ -339,13 +344,13 @@
             (now - began) * 1000,
         )
 
-    def _counted(self, replay: Replay, journal: Journal, term: Term) -> Seats | None:
+    def _counted(self, replay: LogReplayer, journal: WriteAheadLog, term: Term) -> Seats | None:
         """Counted resources, if there are any: in a file of ours or in the log.
 
         All of them are counted in the first share, which decides for the jobs
         that ask for any.
         """
-        if self.share or (not self.house.operator.seats and not replay.seats):
+        if self.share or (not self.house.operator.seats and not replay.counted_resources):
             return None
         from appleshift.counted_resources.scheduler_part import build
 
@@ -395,7 +400,7 @@
         return found if core.sharing is None else {**found, **core.sharing.view()}
 
 
-def _make_trail(written: int) -> Trail:
+def _make_trail(written: int) -> RecordFollower:
     """The log speaks of counted resources: their audit is followed from there."""
     from appleshift.counted_resources.audit_log import Trail as Audit
 
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -70,7 +70,7 @@
         start = spec.tasks - count * len(others)
         job.assign_partitions([[share, start + n * count, count] for n, share in enumerate(others)])
         self._divided[spec.id] = job
-        return [records.portions_record(job)]
+        return [records.partitions_record(job)]
 
     def call_off(self, job: Job, slot: Any) -> None:
         core = self._core
@@ -78,7 +78,7 @@
             # From here on nothing of it starts or counts as done at home.
             job.status = CANCELLED
             job.cancel_requested = True
-            core.write([records.call_off_record(job)], lambda: self._called_off(job))
+            core.write([records.cancel_requested_record(job)], lambda: self._called_off(job))
         core.hold(slot)
         self._waiting[job.spec.id].append(slot)
 
@@ -210,7 +210,7 @@
         elif key not in core.cluster.final_states:
             core.cluster.final_states[key] = CANCELLED
             core.unsaved_finals.append((key, CANCELLED))
-            core.write([records.final_record(key, CANCELLED)])
+            core.write([records.final_state_record(key, CANCELLED)])
 
     def _standing(self, job_id: str) -> Standing | None:
         cluster, key = self._core.cluster, partition_key(job_id)
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -71,7 +71,7 @@
         def durable() -> None:
             self._untold[name] = given
 
-        core.write([records.given_record(given)], durable)
+        core.write([records.handed_off_record(given)], durable)
         self.moved += 1
         log.info("machine %s goes to share %d", name, share)
         return given
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -43,9 +43,9 @@
 from appleshift.sharding.shard_map import ShareMap, epoch
 from appleshift.sharding.sharding import Sharing
 from appleshift.state.cluster_state import ClusterState
-from appleshift.storage.key_value_store import StoreError, TxnFailedError, recover
-from appleshift.storage.records import Replay
-from appleshift.storage.write_ahead_log import share_prefix
+from appleshift.storage.key_value_store import CompareFailedError, StoreError, recover
+from appleshift.storage.records import LogReplayer
+from appleshift.storage.write_ahead_log import shard_prefix
 from appleshift.transport.client import ClientError
 from appleshift.transport.concurrency import Pool
 
@@ -127,7 +127,7 @@
         known, version = self.map, self.version
         return None if known is None or known.changing else ((MAP_KEY, version),)
 
-    def sharing(self, term: Term, replay: Replay) -> Sharing | None:
+    def sharing(self, term: Term, replay: LogReplayer) -> Sharing | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -137,12 +137,12 @@
             self._settle(term, replay)
         elif term.also != ((MAP_KEY, self.version),):
             # Elected under a map that is not in force: nothing could be written.
-            raise TxnFailedError([MAP_KEY])
+            raise CompareFailedError([MAP_KEY])
         if self.map is None:
             return None
         return Sharing(term.share, self.map, self.house.settings.deployment.teams)
 
-    def _settle(self, term: Term, replay: Replay) -> None:
+    def _settle(self, term: Term, replay: LogReplayer) -> None:
         """The leader makes the map what the operators want it to be."""
         value, version = self._look()
         wanted = self.house.operator.shares
@@ -181,25 +181,25 @@
         ]
         put = kv.put(MAP_KEY, msgspec.to_builtins(value))
         try:
-            return self.house.store.txn(guards, [put])
-        except TxnFailedError:
+            return self.house.store.compare_and_swap(guards, [put])
+        except CompareFailedError:
             # An earlier copy whose answer was lost may have got through.
             found, version = self._look()
             if found == value:
                 return version
             raise
 
-    def _others(self, replay: Replay, shares: int) -> dict[int, ClusterState]:
+    def _others(self, replay: LogReplayer, shares: int) -> dict[int, ClusterState]:
         """What the logs of all shares say; the first one's is recovered already."""
         deployment = self.house.settings.deployment
         found = {0: replay.cluster}
         for share in range(1, shares):
-            other = Replay(ClusterState(deployment.zones, deployment.teams))
-            recover(self.house.store, other, share_prefix(share))
+            other = LogReplayer(ClusterState(deployment.zones, deployment.teams))
+            recover(self.house.store, other, shard_prefix(share))
             found[share] = other.cluster
         return found
 
-    def _busy(self, replay: Replay, shares: set[int]) -> set[int]:
+    def _busy(self, replay: LogReplayer, shares: set[int]) -> set[int]:
         """Which of these shares have work."""
         cluster = self._others(replay, max(shares) + 1)
         return {share for share in shares if cluster[share].jobs}
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -7,8 +7,16 @@
 
 from appleshift.protocol import kv
 from appleshift.protocol.wire import ProtocolError, encode, json_size
-from appleshift.storage.records import Replay
-from appleshift.storage.write_ahead_log import FINAL, LOG, META, SNAP, Meta, final_key, log_key
+from appleshift.storage.records import LogReplayer
+from appleshift.storage.write_ahead_log import (
+    FINAL_STATES_PREFIX,
+    HEADER_KEY,
+    LOG_PREFIX,
+    SNAPSHOT_PREFIX,
+    LogHeader,
+    final_key,
+    log_key,
+)
 from appleshift.transport.client import Caller, ClientError
 from appleshift.transport.concurrency import RateBudget, Routines
 
@@ -26,11 +34,11 @@
         self.refused = refused
 
 
-class LeaseGoneError(Exception):
+class LeaseExpiredError(Exception):
     """The lease has ended."""
 
 
-class TxnFailedError(Exception):
+class CompareFailedError(Exception):
     """A transaction's conditions do not hold."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -38,13 +46,13 @@
         self.failed = failed
 
 
-class Store:
+class KeyValueStore:
     """Blocking calls; every failure is one of the errors above."""
 
     def __init__(self, client: Caller, rps: float, routines: Routines) -> None:
         self._client = client
         self._budget = RateBudget(routines, max(1.0, rps))
-        self.answers = False
+        self.is_answering = False
         """Whether it did when it was asked last."""
 
     def _call(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
@@ -53,9 +61,9 @@
             data = None if body is None else encode(body)
             status, answer = self._client.request(method, path, data, timeout)
         except ClientError as error:
-            self.answers = False
+            self.is_answering = False
             raise StoreError(str(error), refused=False) from None
-        self.answers = status < 500
+        self.is_answering = status < 500
         if status in (429, 503):
             raise StoreError(f"{path}: {status}", refused=True)
         if status >= 500:
@@ -78,44 +86,44 @@
         except ProtocolError as error:
             raise StoreError(f"unreadable answer: {error.reason}", refused=False) from None
 
-    def page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> kv.Page:
+    def read_page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> kv.Page:
         status, body = self._call("GET", kv.page_path(prefix, after, limit), None, timeout)
         page: kv.Page = self._decoded(status, body, kv.decode_page)
         return page
 
-    def everything(self, prefix: str, after: str = "") -> list[kv.Item]:
+    def read_all(self, prefix: str, after: str = "") -> list[kv.Item]:
         items: list[kv.Item] = []
         while True:
-            page = self.page(prefix, after, PAGE_ITEMS)
+            page = self.read_page(prefix, after, PAGE_ITEMS)
             items += page.items
             if not page.more or not page.items:
                 return items
             after = page.items[-1].key
 
-    def txn(
+    def compare_and_swap(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]], timeout: float = 1.0
     ) -> int:
         status, body = self._call("POST", "/txn", kv.txn_body(guards, changes), timeout)
         if status == 409:
-            raise TxnFailedError(self._decoded(200, body, kv.decode_failed))
+            raise CompareFailedError(self._decoded(200, body, kv.decode_failed))
         if status == 400:
-            raise LeaseGoneError(repr(body[:200]))
+            raise LeaseExpiredError(repr(body[:200]))
         revision: int = self._decoded(status, body, kv.decode_txn)
         return revision
 
-    def grant(self, ttl_s: float, timeout: float = 1.0) -> int:
+    def grant_lease(self, ttl_s: float, timeout: float = 1.0) -> int:
         status, body = self._call("POST", "/leases", kv.lease_body(ttl_s), timeout)
         lease: int = self._decoded(status, body, kv.decode_lease)
         return lease
 
-    def renew(self, lease: int, timeout: float) -> None:
+    def renew_lease(self, lease: int, timeout: float) -> None:
         status, _ = self._call("POST", f"/leases/{lease}/renew", {}, timeout)
         if status == 404:
-            raise LeaseGoneError(f"lease {lease}")
+            raise LeaseExpiredError(f"lease {lease}")
         if status != 200:
             raise StoreError(f"renewal: {status}", refused=False)
 
-    def drop_lease(self, lease: int) -> bool:
+    def revoke_lease(self, lease: int) -> bool:
         """End a lease; true if it has certainly ended."""
         try:
             status, _ = self._call("DELETE", f"/leases/{lease}", None, 1.0)
@@ -134,51 +142,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class RecoveredLog:
     """Where the log of a share goes on."""
 
-    meta: Meta
-    meta_version: int
-    next_log: int
+    header: LogHeader
+    header_version: int
+    next_entry: int
     log_bytes: int
     """Size of the log that no snapshot covers."""
-    leftovers: list[str]
+    orphaned_keys: list[str]
     """Keys that a broken-off snapshot or clean-up left behind."""
 
 
-def recover(store: Store, replay: Replay, prefix: str = "") -> Recovered:
+def recover(store: KeyValueStore, replay: LogReplayer, prefix: str = "") -> RecoveredLog:
     """Read snapshot and log of a share's key range into ``replay``."""
-    item = store.get(prefix + META)
-    meta, version = Meta(), 0
+    item = store.get(prefix + HEADER_KEY)
+    meta, version = LogHeader(), 0
     if item is not None:
         version = item.version
         value = item.value
         first, following, entries = value.get("audit", (0, 0, 0))
-        meta = Meta(
+        meta = LogHeader(
             value["generation"],
             value["pages"],
             value["log_from"],
             value["finals"],
             (first, following, entries),
         )
-        replay.audit_written = entries
+        replay.audit_entries_written = entries
     leftovers: list[str] = []
-    last_final = final_key(meta.finals, prefix)
-    for row in store.everything(prefix + FINAL) if meta.finals else []:
+    last_final = final_key(meta.final_pages, prefix)
+    for row in store.read_all(prefix + FINAL_STATES_PREFIX) if meta.final_pages else []:
         if row.key < last_final:
-            replay.finals(row.value["records"])
-    snap = f"{prefix}{SNAP}{meta.generation:08d}/"
-    for row in store.everything(prefix + SNAP):
+            replay.apply_final_states(row.value["records"])
+    snap = f"{prefix}{SNAPSHOT_PREFIX}{meta.generation:08d}/"
+    for row in store.read_all(prefix + SNAPSHOT_PREFIX):
         if row.key.startswith(snap) and int(row.key[len(snap) :]) < meta.pages:
             replay.apply(row.value["records"])
         else:
             leftovers.append(row.key)
-    number, log_bytes = meta.log_from, 0
-    for row in store.everything(prefix + LOG):
-        if row.key < log_key(meta.log_from, prefix):
+    number, log_bytes = meta.first_entry, 0
+    for row in store.read_all(prefix + LOG_PREFIX):
+        if row.key < log_key(meta.first_entry, prefix):
             leftovers.append(row.key)
             continue
         replay.apply(row.value["records"])
         log_bytes += json_size(row.value)
-        number = int(row.key[len(prefix + LOG) :]) + 1
-    return Recovered(meta, version, number, log_bytes, leftovers)
+        number = int(row.key[len(prefix + LOG_PREFIX) :]) + 1
+    return RecoveredLog(meta, version, number, log_bytes, leftovers)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -32,19 +32,19 @@
 DONE = "D"
 CANCEL = "C"
 END = "E"
-TYPES = "T"
-GROUPS = "G"
+MACHINE_TYPE = "T"
+SPOT_GROUPS = "G"
 MACHINE = "M"
-GONE = "X"
-NEXT = "N"
-SEATS = "S"
-PORTIONS = "P"
-CALL_OFF = "K"
-GIVEN = "V"
-FINAL = "W"
+MACHINE_DELETED = "X"
+NEXT_JOB_INDEX = "N"
+COUNTED_RESOURCE = "S"
+PARTITIONS = "P"
+CANCEL_REQUESTED = "K"
+HANDED_OFF = "V"
+FINAL_STATE = "W"
 
 _SPEC_FIELDS = Submission.__struct_fields__
-_TASKS_A_RECORD = 100
+_MAX_TASKS_PER_RECORD = 100
 """Ranges of this many tasks fit the smallest value even if no two are neighbours."""
 
 
@@ -61,12 +61,12 @@
     job: Job,
     attempt: int,
     machine: Machine,
-    session: int,
+    agent_epoch: int,
     tasks: list[int],
     wall: float | None = None,
 ) -> list[Record]:
     return [
-        [ASSIGN, job.index, attempt, machine.name, session, to_ranges(some), *_at(job, wall)]
+        [ASSIGN, job.index, attempt, machine.name, agent_epoch, to_ranges(some), *_at(job, wall)]
         for some in _slices(tasks)
     ]
 
@@ -79,9 +79,9 @@
     return [[DONE, job.index, to_ranges(some), *_at(job, wall)] for some in _slices(tasks)]
 
 
-def seats_record(name: str, definition: dict[str, Any] | None, wall: float) -> Record:
+def counted_resource_record(name: str, definition: dict[str, Any] | None, wall: float) -> Record:
     """A counted resource as it is from now on; None: no longer counted."""
-    return [SEATS, round(wall, 3), name, definition]
+    return [COUNTED_RESOURCE, round(wall, 3), name, definition]
 
 
 def _at(job: Job, wall: float | None) -> tuple[float, ...]:
@@ -93,29 +93,29 @@
     return [CANCEL, job.index]
 
 
-def portions_record(job: Job) -> Record:
+def partitions_record(job: Job) -> Record:
     """Which tasks of the job other shares run."""
-    return [PORTIONS, job.index, [[*portion] for portion in job.partitions]]
+    return [PARTITIONS, job.index, [[*portion] for portion in job.partitions]]
 
 
-def call_off_record(job: Job) -> Record:
+def cancel_requested_record(job: Job) -> Record:
     """Its user wants it cancelled: nothing of it starts any more, and other
     shares are asked to end what they have. It is cancelled once they did."""
-    return [CALL_OFF, job.index]
+    return [CANCEL_REQUESTED, job.index]
 
 
-def final_record(job_id: str, final: int) -> Record:
+def final_state_record(job_id: str, final: int) -> Record:
     """The final state of an id that is no job here: it belongs elsewhere, or ended
     before it came."""
-    return [FINAL, job_id, final]
+    return [FINAL_STATE, job_id, final]
 
 
 def end_record(job: Job) -> Record:
     return [END, job.index, job.status]
 
 
-def types_record(types: list[MachineType]) -> list[Record]:
-    return [[TYPES, msgspec.to_builtins(kind)] for kind in types]
+def machine_type_records(types: list[MachineType]) -> list[Record]:
+    return [[MACHINE_TYPE, msgspec.to_builtins(kind)] for kind in types]
 
 
 def machine_record(cluster: ClusterState, machine: Machine) -> Record:
@@ -128,30 +128,30 @@
     )
 
 
-def given_record(given: HandedOffMachine) -> Record:
+def handed_off_record(handed_off: HandedOffMachine) -> Record:
     """A machine without any task was handed on to another share."""
-    return [GIVEN, *astuple(given)]
+    return [HANDED_OFF, *astuple(handed_off)]
 
 
-def gone_record(machine: Machine) -> Record:
-    return [GONE, machine.name]
+def machine_deleted_record(machine: Machine) -> Record:
+    return [MACHINE_DELETED, machine.name]
 
 
 def _slices(tasks: list[int]) -> list[list[int]]:
     ordered = sorted(tasks)
     return [
-        ordered[start : start + _TASKS_A_RECORD]
-        for start in range(0, len(ordered), _TASKS_A_RECORD)
+        ordered[start : start + _MAX_TASKS_PER_RECORD]
+        for start in range(0, len(ordered), _MAX_TASKS_PER_RECORD)
     ]
 
 
-class Trail(Protocol):
+class RecordFollower(Protocol):
     """Follows durable records, for the audit of counted resources."""
 
     def apply(self, record: Record) -> None: ...
 
 
-class Replay:
+class LogReplayer:
     """Rebuilds the tables from a snapshot and the log after it.
 
     ``make_trail`` is called once counted resources turn up in the log, with the
@@ -159,22 +159,22 @@
     """
 
     def __init__(
-        self, cluster: ClusterState, make_trail: Callable[[int], Trail] | None = None
+        self, cluster: ClusterState, make_audit_log: Callable[[int], RecordFollower] | None = None
     ) -> None:
         self.cluster = cluster
-        self.make_trail = make_trail
-        self.trail: Trail | None = None
-        self.audit_written = 0
+        self.make_audit_log = make_audit_log
+        self.audit_log: RecordFollower | None = None
+        self.audit_entries_written = 0
         # Counted resources in force, by name, as they were written down.
-        self.seats: dict[str, Any] = {}
+        self.counted_resources: dict[str, Any] = {}
         self.groups: Any = None
-        self.unsaved_finals: list[tuple[str, int]] = []
+        self.unsaved_final_states: list[tuple[str, int]] = []
         # All submissions that the log still holds, jobs that are over included.
         self.arrivals: list[tuple[float, Submission]] = []
         # (job, task) -> (attempt, machine name, session): where a task may be.
-        self.places: dict[tuple[int, int], tuple[int, str, int]] = {}
+        self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
-    def finals(self, records: list[Record]) -> None:
+    def apply_final_states(self, records: list[Record]) -> None:
         for job_id, status in records:
             self.cluster.final_states[job_id] = status
 
@@ -185,8 +185,8 @@
     def _apply(self, record: Record) -> None:
         kind = record[0]
         cluster = self.cluster
-        if self.trail is not None:
-            self.trail.apply(record)
+        if self.audit_log is not None:
+            self.audit_log.apply(record)
         if kind == JOB:
             _, index, submitted, values, *portion = record
             spec = Submission(**dict(zip(_SPEC_FIELDS, values, strict=False)))
@@ -195,10 +195,10 @@
             if not portion:
                 self.arrivals.append((submitted, spec))
             return
-        if kind == TYPES:
+        if kind == MACHINE_TYPE:
             cluster.set_types([msgspec.convert(record[1], MachineType)])
             return
-        if kind == GROUPS:
+        if kind == SPOT_GROUPS:
             self.groups = record[1]
             return
         if kind == MACHINE:
@@ -209,28 +209,28 @@
                 machine.addr = addr
                 machine.transfer_count, machine.min_fencing_token = moved or (0, 0)
             return
-        if kind == GIVEN:
+        if kind == HANDED_OFF:
             given = HandedOffMachine(*record[1:])
             machine = cluster.machine(given.name)
             if machine is not None:
                 cluster.forget_machine(machine)
             cluster.handed_off[given.name] = given
             return
-        if kind == GONE:
+        if kind == MACHINE_DELETED:
             machine = cluster.machine(record[1])
             if machine is not None:
                 cluster.drop_machine(machine)
             return
-        if kind == SEATS:
-            self._seats(record)
+        if kind == COUNTED_RESOURCE:
+            self._apply_counted_resource(record)
             return
-        if kind == NEXT:
+        if kind == NEXT_JOB_INDEX:
             cluster.next_job_index = max(cluster.next_job_index, record[1])
             return
-        if kind == FINAL:
+        if kind == FINAL_STATE:
             _, job_id, final = record
             cluster.final_states[job_id] = final
-            self.unsaved_finals.append((job_id, final))
+            self.unsaved_final_states.append((job_id, final))
             return
         index = record[1]
         known = cluster.jobs.get(index)
@@ -240,20 +240,20 @@
         if kind == ASSIGN:
             _, _, attempt, machine, session, ranges, *_ = record
             for task in from_ranges(ranges):
-                self.places[(index, task)] = (attempt, machine, session)
+                self.task_locations[(index, task)] = (attempt, machine, session)
             job.last_attempt = max(job.last_attempt, attempt)
         elif kind == FREE:
             for task in from_ranges(record[2]):
-                self.places.pop((index, task), None)
+                self.task_locations.pop((index, task), None)
         elif kind == DONE:
             for task in from_ranges(record[2]):
                 cluster.finish_task(job, task)
             if job.done_count == job.spec.tasks:
                 job.status = FINISHED
                 job.done_durable = True
-        elif kind == PORTIONS:
+        elif kind == PARTITIONS:
             job.assign_partitions(record[2])
-        elif kind == CALL_OFF:
+        elif kind == CANCEL_REQUESTED:
             job.status = CANCELLED
             job.cancel_requested = True
         elif kind == CANCEL:
@@ -264,39 +264,39 @@
         elif kind == END:
             job.status = record[2]
             for task in range(job.spec.tasks):
-                self.places.pop((index, task), None)
-            self.unsaved_finals.append((job.key, job.status))
+                self.task_locations.pop((index, task), None)
+            self.unsaved_final_states.append((job.key, job.status))
             cluster.retire(job)
 
-    def _seats(self, record: Record) -> None:
-        if self.trail is None and self.make_trail is not None:
-            self.trail = self.make_trail(self.audit_written)
-            self.trail.apply(record)
+    def _apply_counted_resource(self, record: Record) -> None:
+        if self.audit_log is None and self.make_audit_log is not None:
+            self.audit_log = self.make_audit_log(self.audit_entries_written)
+            self.audit_log.apply(record)
         _, _, name, definition = record
         if definition is None:
-            self.seats.pop(name, None)
+            self.counted_resources.pop(name, None)
         else:
-            self.seats[name] = definition
+            self.counted_resources[name] = definition
 
 
 def live_records(
-    cluster: ClusterState, groups: Any, seats: list[Record] | None = None
+    cluster: ClusterState, groups: Any, counted_resources: list[Record] | None = None
 ) -> list[Record]:
     """Records that rebuild the live state, for a snapshot."""
     # What is counted comes first: jobs are read by it.
-    records = (seats or []) + types_record(cluster.types)
+    records = (counted_resources or []) + machine_type_records(cluster.types)
     if groups is not None:
-        records.append([GROUPS, groups])
+        records.append([SPOT_GROUPS, groups])
     # Ended jobs' numbers stay used: the log after the snapshot may name them.
-    records.append([NEXT, cluster.next_job_index])
+    records.append([NEXT_JOB_INDEX, cluster.next_job_index])
     for machine in cluster.machines.values():
         if machine.addr:
             records.append(machine_record(cluster, machine))
-    records += [given_record(given) for given in cluster.handed_off.values()]
+    records += [handed_off_record(given) for given in cluster.handed_off.values()]
     for job in cluster.jobs.values():
         records.append(job_record(job))
         if job.partitions:
-            records.append(portions_record(job))
+            records.append(partitions_record(job))
         # Where tasks may be, attempt by attempt and machine by machine.
         by_place: dict[tuple[int, int, int], list[int]] = {}
         for task, run in job.runs.items():
@@ -311,7 +311,7 @@
         done = [task for task in range(job.spec.tasks) if job.done[task]]
         records += done_records(job, done)
         if job.cancel_requested:
-            records.append(call_off_record(job))
+            records.append(cancel_requested_record(job))
         elif job.status == CANCELLED:
             records.append(cancel_record(job))
     return records
--- a/appleshift/storage/write_ahead_log.py
+++ b/appleshift/storage/write_ahead_log.py
@@ -29,242 +29,244 @@
 from appleshift.protocol import kv
 from appleshift.protocol.wire import json_size
 
-META = "meta"
-LOG = "log/"
-SNAP = "snap/"
-FINAL = "final/"
-AUDIT = "audit/"
-TXN_BYTES = 60 * 1024
+HEADER_KEY = "meta"
+LOG_PREFIX = "log/"
+SNAPSHOT_PREFIX = "snap/"
+FINAL_STATES_PREFIX = "final/"
+AUDIT_PREFIX = "audit/"
+MAX_TRANSACTION_BYTES = 60 * 1024
 """Below the service's 64 KiB, to leave room for guards and framing."""
 
 IDLE_SHARE = 0.6
 """What can wait is written at once while so much of a second's writes is unused,"""
-CHORE_SHARE = 0.3
+MAINTENANCE_SHARE = 0.3
 """and gets so much of all writes however many records come. When it got none, the last
 snapshot of a minute of small jobs took as long as the jobs came, and the log grew."""
-CHORE_GAP_S = 0.25
+MAINTENANCE_INTERVAL_S = 0.25
 """Records wait for one such write at a time, and not for another so soon: when a whole burst
 of pages went before them, users waited for their sum."""
 CLEAN_UP_SHARE, CLEAN_UP_GAP_S = 0.5, 0.1
-MOST_REMOVALS = 200
+MAX_PENDING_REMOVALS = 200
 """With more keys than this to be removed, chores get so much: a key that is written costs
 another write to remove, so with less, keys would pile up for as long as records come."""
 
 Record = list[Any]
 
 
-def share_prefix(share: int) -> str:
+def shard_prefix(shard: int) -> str:
     """Start of all keys of a share."""
-    return f"share/{share:04d}/" if share else ""
+    return f"share/{shard:04d}/" if shard else ""
 
 
 def log_key(number: int, prefix: str = "") -> str:
-    return f"{prefix}{LOG}{number:012d}"
+    return f"{prefix}{LOG_PREFIX}{number:012d}"
 
 
-def snap_key(generation: int, page: int, prefix: str = "") -> str:
-    return f"{prefix}{SNAP}{generation:08d}/{page:06d}"
+def snapshot_key(generation: int, page: int, prefix: str = "") -> str:
+    return f"{prefix}{SNAPSHOT_PREFIX}{generation:08d}/{page:06d}"
 
 
 def final_key(number: int, prefix: str = "") -> str:
-    return f"{prefix}{FINAL}{number:08d}"
+    return f"{prefix}{FINAL_STATES_PREFIX}{number:08d}"
 
 
 def audit_key(number: int, prefix: str = "") -> str:
-    return f"{prefix}{AUDIT}{number:08d}"
+    return f"{prefix}{AUDIT_PREFIX}{number:08d}"
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A rate with bursts of one second's worth."""
 
     rate: float
     level: float = 0.0
-    at: float = 0.0
+    refilled_at: float = 0.0
 
-    def fill(self, now: float) -> float:
-        if now > self.at:
-            self.level = min(self.rate, self.level + (now - self.at) * self.rate)
-            self.at = now
+    def refill(self, now: float) -> float:
+        if now > self.refilled_at:
+            self.level = min(self.rate, self.level + (now - self.refilled_at) * self.rate)
+            self.refilled_at = now
         return self.level
 
 
 @dataclass(slots=True)
-class Txn:
+class Transaction:
     """A transaction to send, and to send again until its outcome is known."""
 
     guards: list[dict[str, Any]]
     changes: list[dict[str, Any]]
-    probe: str
+    probe_key: str
     """The key whose presence, with ``mark`` in it, shows that it was applied."""
     mark: str
 
 
 @dataclass(slots=True)
-class Meta:
+class LogHeader:
     generation: int = 0
     pages: int = 0
-    log_from: int = 1
-    finals: int = 0
-    audit: tuple[int, int, int] = (0, 0, 0)
+    first_entry: int = 1
+    final_pages: int = 0
+    audit_pages: tuple[int, int, int] = (0, 0, 0)
     """First page kept, next page, and how many entries all pages ever held."""
 
-    def value(self, mark: str) -> dict[str, Any]:
+    def to_value(self, mark: str) -> dict[str, Any]:
         value = {
             "generation": self.generation,
             "pages": self.pages,
-            "log_from": self.log_from,
-            "finals": self.finals,
+            "log_from": self.first_entry,
+            "finals": self.final_pages,
             "mark": mark,
         }
-        return {**value, "audit": list(self.audit)} if self.audit[1] else value
+        return {**value, "audit": list(self.audit_pages)} if self.audit_pages[1] else value
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingRecord:
     record: Record | None
     size: int
-    then: Callable[[], None] | None
+    on_durable: Callable[[], None] | None
     barrier: bool = False
     """Nothing appended later may share its transaction."""
 
 
 @dataclass(slots=True)
-class _Chore:
+class _MaintenanceWrite:
     """A change that can wait: snapshot pages and deletes."""
 
     changes: list[dict[str, Any]]
-    probe: str = ""
+    probe_key: str = ""
     mark: str = ""
-    then: Callable[[], None] | None = None
+    on_durable: Callable[[], None] | None = None
 
-    def take(self, most: int) -> _Chore:
+    def split_off(self, most: int) -> _MaintenanceWrite:
         """The first changes of a clean-up, which may be made in any number of parts."""
         taken, self.changes = self.changes[:most], self.changes[most:]
-        return _Chore(taken)
+        return _MaintenanceWrite(taken)
 
 
 @dataclass
-class Journal:
+class WriteAheadLog:
     """What is to be written, in order."""
 
     leader_key: str
     leader_version: int
-    term_mark: str
+    term_id: str
     write_rps: float
     value_bytes: int
-    txn_ops: int
-    meta: Meta
-    meta_version: int
-    next_log: int
+    max_transaction_ops: int
+    header: LogHeader
+    header_version: int
+    next_entry: int
     now: float = 0.0
     prefix: str = ""
-    also_guard: tuple[tuple[str, int], ...] = ()
+    extra_guards: tuple[tuple[str, int], ...] = ()
     """Keys, and their versions, that must not have changed either."""
     log_bytes: int = 0
-    bucket: Bucket = field(init=False)
-    _queue: deque[_Pending] = field(default_factory=deque)
-    _chores: deque[_Chore] = field(default_factory=deque)
+    bucket: TokenBucket = field(init=False)
+    _queue: deque[_PendingRecord] = field(default_factory=deque)
+    _snapshot_writes: deque[_MaintenanceWrite] = field(default_factory=deque)
     """Pages of a snapshot, and what makes it count."""
-    _removals: deque[_Chore] = field(default_factory=deque)
+    _removals: deque[_MaintenanceWrite] = field(default_factory=deque)
     """Clean-up, which no snapshot waits for."""
-    _chore_at: float = float("-inf")
+    _maintenance_sent_at: float = float("-inf")
     """When a chore was sent last."""
-    _credit: Bucket = field(init=False)
+    _maintenance_budget: TokenBucket = field(init=False)
     """Writes that chores may make although records wait."""
-    _flying: list[_Pending] | None = None
-    _flying_chore: _Chore | None = None
-    _txn: Txn | None = None
+    _in_flight: list[_PendingRecord] | None = None
+    _maintenance_in_flight: _MaintenanceWrite | None = None
+    _transaction: Transaction | None = None
     _serial: int = 0
-    _waiting_bytes: int = 0
-    _spent: int = 0
+    _queued_bytes: int = 0
+    _max_swept_generation: int = 0
     """The newest generation of a snapshot of which pages are being deleted."""
     snapshotting: bool = False
-    watch: Callable[[Record], None] | None = None
+    on_record_durable: Callable[[Record], None] | None = None
     """Is shown each record once it is durable, in the order of the log."""
 
     def __post_init__(self) -> None:
-        self._meta_key = self.prefix + META
-        guarded = ((self.leader_key, self.leader_version), *self.also_guard)
+        self._meta_key = self.prefix + HEADER_KEY
+        guarded = ((self.leader_key, self.leader_version), *self.extra_guards)
         self._guards = [kv.guard(key, version) for key, version in guarded]
         # The limit is the service's, not ours alone: a leader before us may
         # have spent this second's burst.
-        self.bucket = Bucket(self.write_rps, self.write_rps * 0.5, self.now)
-        self._credit = Bucket(self.write_rps * CHORE_SHARE, 0.0, self.now)
+        self.bucket = TokenBucket(self.write_rps, self.write_rps * 0.5, self.now)
+        self._maintenance_budget = TokenBucket(self.write_rps * MAINTENANCE_SHARE, 0.0, self.now)
 
     # -- what is to be written -------------------------------------------
 
-    def append(self, record: Record | None, then: Callable[[], None] | None = None) -> None:
+    def append(self, record: Record | None, on_durable: Callable[[], None] | None = None) -> None:
         """Write a record; ``then`` runs once it is durable.
 
         Without a record, ``then`` runs once everything before it is durable.
         """
-        if record is None and not self._queue and self._flying is None:
-            if then is not None:
-                then()
+        if record is None and not self._queue and self._in_flight is None:
+            if on_durable is not None:
+                on_durable()
             return
         size = 0 if record is None else json_size(record) + 1
         if size > self.value_bytes - 200:
             raise ValueError(f"record of {size} bytes does not fit a value")
-        self._queue.append(_Pending(record, size, then))
-        self._waiting_bytes += size
+        self._queue.append(_PendingRecord(record, size, on_durable))
+        self._queued_bytes += size
 
     def fits(self, record: Record) -> bool:
         return json_size(record) + 1 <= self.value_bytes - 200
 
     def backlog(self) -> int:
-        return len(self._queue) + len(self._flying or ())
+        return len(self._queue) + len(self._in_flight or ())
 
     def lag_s(self) -> float:
         """How long writing what waits takes at the service's rate."""
-        return self._waiting_bytes / (self.value_bytes * self.write_rps)
+        return self._queued_bytes / (self.value_bytes * self.write_rps)
 
     def _mark(self) -> str:
         self._serial += 1
-        return f"{self.term_mark}.{self._serial}"
+        return f"{self.term_id}.{self._serial}"
 
-    def settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Nothing that matters waits or is under way."""
-        return not self._queue and self._txn is None
+        return not self._queue and self._transaction is None
 
     def set_rate(self, write_rps: float) -> None:
         """From now on this much of the service's write budget."""
         self.write_rps = self.bucket.rate = write_rps
 
-    def next_txn(self, now: float) -> Txn | None:
+    def next_transaction(self, now: float) -> Transaction | None:
         """The transaction to send now, if the budget allows one."""
-        if self._txn is not None:
+        if self._transaction is not None:
             return None
-        level = self.bucket.fill(now)
+        level = self.bucket.refill(now)
         while self._queue and self._queue[0].record is None:
-            then = self._queue.popleft().then
+            then = self._queue.popleft().on_durable
             if then is not None:
                 then()
-        chores = self._chores or self._removals
-        behind = sum(len(chore.changes) for chore in self._removals) > MOST_REMOVALS
-        self._credit.rate = self.write_rps * (CLEAN_UP_SHARE if behind else CHORE_SHARE)
-        credit = min(level, self._credit.fill(now))
-        gap_s = CLEAN_UP_GAP_S if behind else CHORE_GAP_S
-        due = not self._queue or now - self._chore_at >= gap_s
+        chores = self._snapshot_writes or self._removals
+        behind = sum(len(chore.changes) for chore in self._removals) > MAX_PENDING_REMOVALS
+        self._maintenance_budget.rate = self.write_rps * (
+            CLEAN_UP_SHARE if behind else MAINTENANCE_SHARE
+        )
+        credit = min(level, self._maintenance_budget.refill(now))
+        gap_s = CLEAN_UP_GAP_S if behind else MAINTENANCE_INTERVAL_S
+        due = not self._queue or now - self._maintenance_sent_at >= gap_s
         if chores and due and credit >= 1.0:
-            return self._chore_txn(now, int(credit))
+            return self._maintenance_transaction(now, int(credit))
         if self._queue:
-            return self._log_txn(level)
+            return self._log_transaction(level)
         if chores and level >= max(1.0, self.write_rps * IDLE_SHARE):
-            return self._chore_txn(now, self.txn_ops)
+            return self._maintenance_transaction(now, self.max_transaction_ops)
         return None
 
-    def _log_txn(self, level: float) -> Txn | None:
-        most = min(self.txn_ops, int(level))
+    def _log_transaction(self, level: float) -> Transaction | None:
+        most = min(self.max_transaction_ops, int(level))
         if most < 1:
             return None
         mark = self._mark()
-        flying: list[_Pending] = []
+        flying: list[_PendingRecord] = []
         changes: list[dict[str, Any]] = []
         total = 0
         open_ended = True
         while open_ended and self._queue and len(changes) < most:
-            if total + self.value_bytes > TXN_BYTES:
+            if total + self.value_bytes > MAX_TRANSACTION_BYTES:
                 break
             records: list[Record] = []
             size = 200
@@ -275,62 +277,64 @@
                 if pending.record is not None:
                     records.append(pending.record)
                     size += pending.size
-                    self._waiting_bytes -= pending.size
+                    self._queued_bytes -= pending.size
             value = {"mark": mark, "records": records}
-            key = log_key(self.next_log + len(changes), self.prefix)
+            key = log_key(self.next_entry + len(changes), self.prefix)
             changes.append(kv.put(key, value))
             total += size
-        first = log_key(self.next_log, self.prefix)
-        self._flying = flying
+        first = log_key(self.next_entry, self.prefix)
+        self._in_flight = flying
         self.bucket.level -= len(changes)
         self.log_bytes += total
         # The first key must be new: a copy of this transaction that arrives
         # after its twin was applied then fails.
         guards = [*self._guards, kv.guard(first, 0)]
-        self._txn = Txn(guards, changes, first, mark)
-        return self._txn
+        self._transaction = Transaction(guards, changes, first, mark)
+        return self._transaction
 
-    def _next_chore(self, most: int) -> _Chore:
-        if self._chores:
-            return self._chores.popleft()
+    def _next_maintenance(self, most: int) -> _MaintenanceWrite:
+        if self._snapshot_writes:
+            return self._snapshot_writes.popleft()
         first = self._removals[0]
         if len(first.changes) > most:
-            return first.take(most)
+            return first.split_off(most)
         return self._removals.popleft()
 
-    def _chore_txn(self, now: float, most: int) -> Txn:
-        chore = self._next_chore(most)
-        self._chore_at = now
-        self._flying_chore = chore
+    def _maintenance_transaction(self, now: float, most: int) -> Transaction:
+        chore = self._next_maintenance(most)
+        self._maintenance_sent_at = now
+        self._maintenance_in_flight = chore
         self.bucket.level -= len(chore.changes)
-        self._credit.level = max(0.0, self._credit.level - len(chore.changes))
+        self._maintenance_budget.level = max(
+            0.0, self._maintenance_budget.level - len(chore.changes)
+        )
         guards = [*self._guards]
-        if chore.probe == self._meta_key:
+        if chore.probe_key == self._meta_key:
             # A copy that arrives late must not bring an older snapshot back.
-            guards.append(kv.guard(self._meta_key, self.meta_version))
-        self._txn = Txn(guards, chore.changes, chore.probe, chore.mark)
-        return self._txn
+            guards.append(kv.guard(self._meta_key, self.header_version))
+        self._transaction = Transaction(guards, chore.changes, chore.probe_key, chore.mark)
+        return self._transaction
 
     # -- what became of it -------------------------------------------------
 
     def committed(self, revision: int) -> None:
         """The transaction under way is durable."""
-        txn, flying, chore = self._txn, self._flying, self._flying_chore
-        self._txn = self._flying = self._flying_chore = None
+        txn, flying, chore = self._transaction, self._in_flight, self._maintenance_in_flight
+        self._transaction = self._in_flight = self._maintenance_in_flight = None
         if txn is None:
             return
         if flying is not None:
-            self.next_log += len(txn.changes)
+            self.next_entry += len(txn.changes)
             for pending in flying:
-                if self.watch is not None and pending.record is not None:
-                    self.watch(pending.record)
-                if pending.then is not None:
-                    pending.then()
+                if self.on_record_durable is not None and pending.record is not None:
+                    self.on_record_durable(pending.record)
+                if pending.on_durable is not None:
+                    pending.on_durable()
         if chore is not None:
-            if chore.probe == self._meta_key:
-                self.meta_version = revision
-            if chore.then is not None:
-                chore.then()
+            if chore.probe_key == self._meta_key:
+                self.header_version = revision
+            if chore.on_durable is not None:
+                chore.on_durable()
 
     # -- snapshots ---------------------------------------------------------
 
@@ -355,8 +359,8 @@
         def write() -> None:
             self._write_snapshot(records, finals, audit() if audit is not None else [], audit_pages)
 
-        if self._queue or self._flying is not None:
-            self._queue.append(_Pending(None, 0, write, barrier=True))
+        if self._queue or self._in_flight is not None:
+            self._queue.append(_PendingRecord(None, 0, write, barrier=True))
         else:
             write()
 
@@ -367,21 +371,24 @@
         audit: list[list[Any]],
         audit_pages: int,
     ) -> None:
-        old, covered = self.meta, self.log_bytes
+        old, covered = self.header, self.log_bytes
         # A deletion that got no answer may be carried out again, seconds later: no key
         # that was ever deleted in this term is written again. The pages of a snapshot
         # that broke off once had the next one's names, and a late copy of their
         # deletion took a page from the snapshot in force.
-        generation = max(old.generation, self._spent) + 1
+        generation = max(old.generation, self._max_swept_generation) + 1
         pages = self._pages(records)
         final_pages = self._pages(finals)
-        first, following, entries = old.audit
+        first, following, entries = old.audit_pages
         trail_pages = self._pages(audit)
         in_range = self.prefix
         for key, page in (
-            *((snap_key(generation, number, in_range), page) for number, page in enumerate(pages)),
             *(
-                (final_key(old.finals + number, in_range), page)
+                (snapshot_key(generation, number, in_range), page)
+                for number, page in enumerate(pages)
+            ),
+            *(
+                (final_key(old.final_pages + number, in_range), page)
                 for number, page in enumerate(final_pages)
             ),
             *(
@@ -391,36 +398,45 @@
         ):
             mark = self._mark()
             value = {"mark": mark, "records": page}
-            self._chores.append(_Chore([kv.put(key, value)], key, mark))
-        new = Meta(generation, len(pages), self.next_log, old.finals + len(final_pages), old.audit)
+            self._snapshot_writes.append(_MaintenanceWrite([kv.put(key, value)], key, mark))
+        new = LogHeader(
+            generation,
+            len(pages),
+            self.next_entry,
+            old.final_pages + len(final_pages),
+            old.audit_pages,
+        )
         if trail_pages:
             following += len(trail_pages)
             first = max(first, following - audit_pages)
-            new.audit = (first, following, entries + len(audit))
+            new.audit_pages = (first, following, entries + len(audit))
         mark = self._mark()
-        done = _Chore([kv.put(self._meta_key, new.value(mark))], self._meta_key, mark)
-        done.then = lambda: self._adopt(old, new, covered)
-        self._chores.append(done)
+        done = _MaintenanceWrite([kv.put(self._meta_key, new.to_value(mark))], self._meta_key, mark)
+        done.on_durable = lambda: self._install_snapshot(old, new, covered)
+        self._snapshot_writes.append(done)
 
-    def _adopt(self, old: Meta, new: Meta, covered: int) -> None:
+    def _install_snapshot(self, old: LogHeader, new: LogHeader, covered: int) -> None:
         """The snapshot counts from now on, and with it ``covered`` bytes of the log."""
-        self.meta = new
+        self.header = new
         self.snapshotting = False
         self.log_bytes -= covered
-        self.sweep(
-            [log_key(number, self.prefix) for number in range(old.log_from, new.log_from)]
-            + [snap_key(old.generation, page, self.prefix) for page in range(old.pages)]
-            + [audit_key(page, self.prefix) for page in range(old.audit[0], new.audit[0])]
+        self.remove_keys(
+            [log_key(number, self.prefix) for number in range(old.first_entry, new.first_entry)]
+            + [snapshot_key(old.generation, page, self.prefix) for page in range(old.pages)]
+            + [
+                audit_key(page, self.prefix)
+                for page in range(old.audit_pages[0], new.audit_pages[0])
+            ]
         )
 
-    def sweep(self, keys: list[str]) -> None:
+    def remove_keys(self, keys: list[str]) -> None:
         """Delete keys that no snapshot and no log needs any more."""
-        pages = self.prefix + SNAP
+        pages = self.prefix + SNAPSHOT_PREFIX
         generations = [int(key[len(pages) :][:8]) for key in keys if key.startswith(pages)]
-        self._spent = max([self._spent, *generations])
-        for start in range(0, len(keys), self.txn_ops):
-            some = keys[start : start + self.txn_ops]
-            self._removals.append(_Chore([kv.remove(key) for key in some]))
+        self._max_swept_generation = max([self._max_swept_generation, *generations])
+        for start in range(0, len(keys), self.max_transaction_ops):
+            some = keys[start : start + self.max_transaction_ops]
+            self._removals.append(_MaintenanceWrite([kv.remove(key) for key in some]))
 
     def _pages(self, records: list[Record]) -> list[list[Record]]:
         pages: list[list[Record]] = []
