--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -74,7 +74,7 @@
         """Has its core that machine?"""
         ...
 
-    def unchanged(self, report: workers.Glance, now: float) -> bytes | None:
+    def unchanged(self, report: workers.HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; None: the core must see it."""
         ...
 
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -18,7 +18,7 @@
         self,
         context: RoutingContext,
         reaches: Callable[[str], bool],
-        hello: Callable[[], peers.Hello | None],
+        hello: Callable[[], peers.PeerStatus | None],
     ) -> None:
         self._context = context
         self._reaches = reaches
@@ -29,23 +29,25 @@
 
     def vote(self, body: bytes) -> Response:
         try:
-            request = peers.decode_pledge(body)
+            request = peers.decode_lease_vote_request(body)
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
-        replica = self._context.replicas.get(request.share)
+        replica = self._context.replicas.get(request.shard)
         given = replica is not None and replica.election.pledge(request)
         return respond(
-            200 if given else 409, peers.Pledged(given, self._context.first.election.process)
+            200 if given else 409, peers.LeaseVote(given, self._context.first.election.process)
         )
 
     def reach(self, body: bytes) -> Response:
         """Do some of these workers answer this node, and could it be elected?"""
         try:
-            request = peers.decode_reach(body)
+            request = peers.decode_connectivity_request(body)
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
         reached = any(self._reaches(addr) for addr in request.addresses)
-        return respond(200, peers.Reach(reached and self._context.first.election.state_answers()))
+        return respond(
+            200, peers.ConnectivityReply(reached and self._context.first.election.state_answers())
+        )
 
     def share_call(self, body: bytes) -> Response:
         """The holder of another share asks this one's."""
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -43,7 +43,7 @@
         routines: Routines,
         store: KeyValueStore,
         hears: Callable[[], int] = lambda: 0,
-        hello: Callable[[], peers.Hello | None] = lambda: None,
+        hello: Callable[[], peers.PeerStatus | None] = lambda: None,
         share_map: Callable[[], ShareMapView | None] = lambda: None,
         crowded: Callable[[], bool] = lambda: False,
         heard: Callable[[], None] = lambda: None,
@@ -67,15 +67,15 @@
 
     def cluster(self, request: Request) -> Response:
         """The siblings: their own calls, and users' requests that they send on."""
-        if request.path == peers.PLEDGE_PATH and request.method == "POST":
+        if request.path == peers.LEASE_VOTE_PATH and request.method == "POST":
             return self._peers.vote(request.body)
-        if request.path == peers.HELLO_PATH and request.method == "GET":
+        if request.path == peers.PEER_STATUS_PATH and request.method == "GET":
             return self._peers.heartbeat()
         if request.path == sharding.SHARE_PATH and request.method == "POST":
             return self._peers.share_call(request.body)
-        if request.path == peers.REPORTS_PATH and request.method == "POST":
+        if request.path == peers.HEARTBEAT_BATCH_PATH and request.method == "POST":
             return self._workers.relayed_reports(request.body)
-        if request.path == peers.REACH_PATH and request.method == "POST":
+        if request.path == peers.CONNECTIVITY_PATH and request.method == "POST":
             return self._peers.reach(request.body)
         return self._guarded(request, forwarded=True)
 
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -42,12 +42,12 @@
 
     def report(self, body: bytes) -> Response:
         self._heard()
-        glance = workers.glance(body)
+        glance = workers.decode_heartbeat_header(body)
         answer = self._unchanged(glance)
         if answer is not None:
             return self._closing(Response(200, answer))
         # A malformed report is refused by every node alike.
-        report, tasks = workers.decode_report(body), bytes(glance.tasks)
+        report, tasks = workers.decode_heartbeat(body), bytes(glance.tasks)
         known = self._context.share_map()
         if known is not None:
             share = known.machine(report.machine, report.type)
@@ -69,7 +69,7 @@
         to = relay or leader
         return respond(421, workers.redirect(None if to == here else to))
 
-    def _unchanged(self, glance: workers.Glance) -> bytes | None:
+    def _unchanged(self, glance: workers.HeartbeatHeader) -> bytes | None:
         """The answer to a report that says nothing new, if it has come to the right node."""
         election = self._context.first.election
         away = election.sent_away() if self._context.share_map() is None else 0.0
@@ -88,7 +88,7 @@
             response.headers["Connection"] = "close"
         return response
 
-    def _report_to_share(self, report: workers.Report, tasks: bytes, share: int) -> Response:
+    def _report_to_share(self, report: workers.Heartbeat, tasks: bytes, share: int) -> Response:
         """A machine reports to the holder of its share, and to nobody else."""
         replica = self._context.replicas.get(share)
         if replica is None or self._context.elsewhere(replica):
@@ -107,7 +107,7 @@
         return response
 
     def _report_to_holder(
-        self, replica: ShareReplica | None, share: int, report: workers.Report, tasks: bytes
+        self, replica: ShareReplica | None, share: int, report: workers.Heartbeat, tasks: bytes
     ) -> Response:
         if replica is None:
             return unavailable()
@@ -121,11 +121,11 @@
     def relayed_reports(self, body: bytes) -> Response:
         """What a relay has gathered: each report is answered as if it had come here."""
         try:
-            batch = peers.decode_reports(body)
+            batch = peers.decode_heartbeat_batch(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         waiting: list[tuple[Response | None, Any]] = []
-        for raw in batch.reports:
+        for raw in batch.heartbeats:
             slot = self._context.routines.mailbox()
             if (
                 self._context.elsewhere(self._context.first)
@@ -134,12 +134,12 @@
                 waiting.append((unavailable(), slot))
                 continue
             try:
-                glance = workers.glance(bytes(raw))
+                glance = workers.decode_heartbeat_header(bytes(raw))
                 answer = self._context.first.unchanged(glance, self._context.routines.now())
                 if answer is not None:
                     waiting.append((Response(200, answer), slot))
                     continue
-                report = workers.decode_report(bytes(raw))
+                report = workers.decode_heartbeat(bytes(raw))
                 self._context.post(events.Beat(0, slot, report, bytes(glance.tasks)))
                 waiting.append((None, slot))
             except ProtocolError as error:
@@ -154,5 +154,5 @@
                     response = respond(status, told)
                 except queue.Empty:
                     response = unavailable()
-            answers.append(peers.RelayedAnswer(response.status, msgspec.Raw(response.body)))
-        return respond(200, peers.ReportAnswers(answers))
+            answers.append(peers.RelayedResponse(response.status, msgspec.Raw(response.body)))
+        return respond(200, peers.HeartbeatResponses(answers))
--- a/appleshift/connectivity/hand_over.py
+++ b/appleshift/connectivity/hand_over.py
@@ -64,24 +64,26 @@
         """A worker's report came to this node's own door."""
         self.sight.reported(self._routines.now())
 
-    def word(self, now: float) -> peers.Sees:
+    def word(self, now: float) -> peers.PeerConnectivity:
         seen = self.sight.seen(now)
-        return peers.Sees(
+        return peers.PeerConnectivity(
             NONE if seen.age_s is None else seen.age_s, seen.steady_s, self._state_answers()
         )
 
-    def told(self, sibling: str, hello: peers.Hello, now: float) -> None:
-        sees = hello.sees
+    def told(self, sibling: str, hello: peers.PeerStatus, now: float) -> None:
+        sees = hello.connectivity
         if sees is None:
             # Of an older version, which does not say.
             self._others.forget(sibling)
         else:
-            age = None if sees.workers_s < 0.0 else sees.workers_s
-            self._others.said(sibling, Word(now, Seen(age, sees.steady_s), sees.state))
+            age = None if sees.worker_contact_age_s < 0.0 else sees.worker_contact_age_s
+            self._others.said(
+                sibling, Word(now, Seen(age, sees.uninterrupted_s), sees.store_answers)
+            )
         if hello.entitled and not self._leads():
-            if hello.sample:
-                self.sight.offer(hello.sample)
-            elif hello.sees is not None:
+            if hello.worker_sample:
+                self.sight.offer(hello.worker_sample)
+            elif hello.connectivity is not None:
                 # A leader that no worker reaches names those that once did.
                 self.sight.forget()
 
@@ -128,11 +130,11 @@
         """Does it reach a worker and the state service right now? One that waits on an
         open watch learns late that it is cut off from the state service; to hand over to
         it would leave nobody entitled."""
-        request = encode(peers.ReachRequest([*self.sight.sample[:CONFIRM_BY]]))
+        request = encode(peers.ConnectivityRequest([*self.sight.sample[:CONFIRM_BY]]))
         try:
             client = self._siblings[sibling]
-            status, body = client.request("POST", peers.REACH_PATH, request, CONFIRM_S)
-            return status == 200 and peers.decode_reached(body).reached
+            status, body = client.request("POST", peers.CONNECTIVITY_PATH, request, CONFIRM_S)
+            return status == 200 and peers.decode_connectivity_reply(body).reached
         except (ClientError, ProtocolError) as error:
             log.debug("%s does not confirm what it reaches: %s", sibling, error)
             return False
--- a/appleshift/contracts/events.py
+++ b/appleshift/contracts/events.py
@@ -12,7 +12,7 @@
 
 from appleshift.protocol.cloud import ListedMachine, MachineType
 from appleshift.protocol.users import Submission
-from appleshift.protocol.workers import Report
+from appleshift.protocol.workers import Heartbeat
 
 
 class Won(msgspec.Struct, frozen=True):
@@ -67,7 +67,7 @@
 
 
 class Beat(Request, frozen=True):
-    report: Report
+    report: Heartbeat
     tasks: bytes | None = None
     """The report's tasks as they were sent."""
 
@@ -112,12 +112,12 @@
     session: int
     starts: tuple[tuple[str, int], ...]
     outcome: str
-    report: Report | None
+    report: Heartbeat | None
 
 
 class Probed(Outcome, frozen=True):
     machine: str
-    report: Report | None
+    report: Heartbeat | None
 
 
 class Types(Outcome, frozen=True):
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -18,7 +18,7 @@
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
-from appleshift.protocol.workers import Report
+from appleshift.protocol.workers import Heartbeat
 from appleshift.state.cluster_state import ClusterState, Machine, TaskRun
 from appleshift.storage.records import Record
 from appleshift.storage.write_ahead_log import WriteAheadLog
@@ -66,7 +66,7 @@
     @property
     def hearing(self) -> Hears: ...
 
-    def observe(self, machine: Machine, report: Report) -> None: ...
+    def observe(self, machine: Machine, report: Heartbeat) -> None: ...
 
     def token_for(self, machine: Machine) -> int: ...
 
--- a/appleshift/dispatch/outbound_calls.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -13,7 +13,7 @@
 from appleshift.protocol import cloud, workers
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError, decode, encode
-from appleshift.protocol.workers import Report, decode_report
+from appleshift.protocol.workers import Heartbeat, decode_heartbeat
 from appleshift.transport.client import Caller, ClientError
 from appleshift.transport.concurrency import Pool, RateBudget, Routines
 
@@ -68,7 +68,7 @@
 
     def _push(self, effect: Push, term: Any) -> None:
         outcome = "unknown"
-        report: Report | None = None
+        report: Heartbeat | None = None
         try:
             body = encode(workers.direct(effect.token, effect.session, effect.commands))
             status, answer = self._client(effect.addr).request("POST", "/do", body, PUSH_TIMEOUT_S)
@@ -77,7 +77,7 @@
             elif status in (400, 409):
                 outcome = "refused"
             if status in (200, 409):
-                report = decode_report(answer)
+                report = decode_heartbeat(answer)
         except (ClientError, ProtocolError, ValueError) as error:
             log.debug("command to %s: %s", effect.machine, error)
         self._post(
@@ -85,12 +85,12 @@
         )
 
     def _inspect(self, effect: Inspect, term: Any) -> None:
-        report: Report | None = None
+        report: Heartbeat | None = None
         try:
             client = self._client(effect.addr)
             status, answer = client.request("GET", "/inspect", None, INSPECT_TIMEOUT_S)
             if status == 200:
-                report = decode_report(answer)
+                report = decode_heartbeat(answer)
         except (ClientError, ProtocolError, ValueError) as error:
             log.debug("probe of %s: %s", effect.machine, error)
         self._post(events.Probed(term, effect.machine, report))
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -11,7 +11,7 @@
 from appleshift.contracts.actions import Push
 from appleshift.contracts.interfaces import Term
 from appleshift.protocol import workers
-from appleshift.protocol.workers import Report
+from appleshift.protocol.workers import Heartbeat
 from appleshift.state.cluster_state import ASSIGNED, EXITED, Machine
 
 REORDER_S = 1.0
@@ -47,12 +47,14 @@
         """Only what has to end, for an answer to a report that may be a copy: nobody may
         read it, so nothing counts as told by it."""
         ending = [
-            workers.stop(run.name, run.attempt, run.stop_grace_s)
+            workers.stop_command(run.name, run.attempt, run.stop_grace_s)
             for run in machine.runs.values()
             if run.stop_grace_s is not None and run.state not in (ASSIGNED, EXITED)
         ]
         strays = [
-            workers.stop(*key, 0.0) for key, exited in machine.unknown_runs.items() if not exited
+            workers.stop_command(*key, 0.0)
+            for key, exited in machine.unknown_runs.items()
+            if not exited
         ]
         return (ending + strays)[:MAX_COMMANDS]
 
@@ -74,7 +76,7 @@
                 continue
             if run.state == EXITED:
                 if run.exit_durable and not run.unconfirmed_starts:
-                    commands.append(workers.clear(run.name, run.attempt))
+                    commands.append(workers.clear_command(run.name, run.attempt))
                 continue
             if run.state == ASSIGNED:
                 if run.stop_grace_s is not None and not run.ordered_this_term:
@@ -89,23 +91,23 @@
                     # start does not show itself, the machine is given up.
                     continue
                 if again or run.stop_grace_s is not None or not run.start_sent:
-                    commands.append(workers.start(run.name, run.attempt))
+                    commands.append(workers.start_command(run.name, run.attempt))
                     starts.append(key)
                     run.start_sent = run.ordered_this_term = True
                 if run.stop_grace_s is not None:
                     # Started and ended at once: the worker then knows the
                     # attempt, and a start still under way does nothing.
-                    commands.append(workers.stop(run.name, run.attempt, 0.0))
+                    commands.append(workers.stop_command(run.name, run.attempt, 0.0))
                 continue
             if run.stop_grace_s is not None:
-                commands.append(workers.stop(run.name, run.attempt, run.stop_grace_s))
+                commands.append(workers.stop_command(run.name, run.attempt, run.stop_grace_s))
         for (name, attempt), exited in machine.unknown_runs.items():
             if len(commands) >= MAX_COMMANDS:
                 break
             if exited:
-                commands.append(workers.clear(name, attempt))
+                commands.append(workers.clear_command(name, attempt))
             else:
-                commands.append(workers.stop(name, attempt, 0.0))
+                commands.append(workers.stop_command(name, attempt, 0.0))
         return commands, tuple(starts)
 
     def pushed(
@@ -114,7 +116,7 @@
         session: int,
         starts: tuple[tuple[str, int], ...],
         outcome: str,
-        report: Report | None,
+        report: Heartbeat | None,
     ) -> None:
         """What became of a direct command: ``done``, ``refused`` or ``unknown``."""
         machine = self._core.cluster.machine(name)
@@ -125,7 +127,11 @@
             run = machine.runs.get(key)
             if run is not None and run.agent_epoch == session:
                 run.unconfirmed_starts -= outcome != "unknown"
-        if report is not None and report.machine == name and report.session >= machine.agent_epoch:
+        if (
+            report is not None
+            and report.machine == name
+            and report.agent_epoch >= machine.agent_epoch
+        ):
             self._core.observe(machine, report)
         # As good as an unanswered probe, or an answered one.
         self._core.hearing.told(machine, outcome != "unknown")
--- a/appleshift/heartbeat_ingest/fast_path.py
+++ b/appleshift/heartbeat_ingest/fast_path.py
@@ -19,7 +19,7 @@
 
 from __future__ import annotations
 
-from appleshift.protocol.workers import ANSWER_S, Glance
+from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, HeartbeatHeader
 
 
 class Cell:
@@ -56,21 +56,21 @@
         cell.known = known
         return cell
 
-    def answer(self, report: Glance, now: float) -> bytes | None:
+    def answer(self, report: HeartbeatHeader, now: float) -> bytes | None:
         """The answer, if the report says nothing new; None: the core must see it.
 
         ``now`` was read before the caller made sure that it is entitled.
         """
         cell = self.cells.get(report.machine)
         known = None if cell is None else cell.known
-        if cell is None or known is None or report.notice_s is not None:
+        if cell is None or known is None or report.reclaim_in_s is not None:
             return None
         session, token, tasks, answer = known
-        if report.session != session or report.token != token:
+        if report.agent_epoch != session or report.fencing_token != token:
             return None
-        number = (report.session, report.seq)
+        number = (report.agent_epoch, report.seq)
         last = max(cell.before[0], cell.heard[0])
         if number <= max(cell.heard[1:3], cell.before[1:]) or bytes(report.tasks) != tasks:
             return None
-        cell.heard = (now, *number, now - last < ANSWER_S)
+        cell.heard = (now, *number, now - last < HEARTBEAT_TIMEOUT_S)
         return answer
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -93,10 +93,10 @@
         answers: list[Answer] = []
         try:
             client = self._siblings[batch[0].leader]
-            body = encode(peers.ReportBatch([msgspec.Raw(entry.body) for entry in batch]))
-            status, raw = client.request("POST", peers.REPORTS_PATH, body, ANSWER_S)
+            body = encode(peers.HeartbeatBatch([msgspec.Raw(entry.body) for entry in batch]))
+            status, raw = client.request("POST", peers.HEARTBEAT_BATCH_PATH, body, ANSWER_S)
             if status == 200:
-                told = peers.decode_answers(raw).answers
+                told = peers.decode_heartbeat_responses(raw).responses
                 answers = [(entry.status, bytes(entry.body)) for entry in told]
         except (ClientError, ProtocolError, KeyError) as error:
             log.debug("relaying to %s: %s", batch[0].leader, error)
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -210,19 +210,19 @@
         self._handed.set()
         self._deposed.set()
 
-    def pledge(self, request: peers.PledgeRequest) -> bool:
+    def pledge(self, request: peers.LeaseVoteRequest) -> bool:
         """A leader asks for a promise not to stand; False: it does not get one."""
-        if request.for_s > 0 and self.state_answers():
+        if request.duration_s > 0 and self.state_answers():
             # Only the asker is refused: its lease runs out, and a node that can
             # write is to lead. A promise would keep everybody from it.
             return False
         return self.leadership.give_pledge(
             request.leader,
-            request.token,
+            request.fencing_token,
             request.seq,
-            request.for_s,
+            request.duration_s,
             self._now(),
-            request.process,
+            request.process_id,
         )
 
     def state_answers(self) -> bool:
@@ -405,27 +405,29 @@
         self._heard.pop(sibling, None)
         self._relays.pop(sibling, None)
 
-    def told(self, sibling: str, hello: peers.Hello, held: peers.Held | None) -> None:
+    def told(self, sibling: str, hello: peers.PeerStatus, held: peers.HeldShard | None) -> None:
         """A sibling says what it holds, of this share (None: it does not)."""
         now = self._now()
-        self.leadership.heard(sibling, hello.process, now)
+        self.leadership.heard(sibling, hello.process_id, now)
         self._heard[sibling] = (
             now,
             held is not None and held.entitled,
-            0 if held is None else held.token,
+            0 if held is None else held.fencing_token,
         )
         if held is None:
             self.leadership.sibling_cleared(sibling)
-        elif self.leadership.leading and held.token > self.leadership.token:
+        elif self.leadership.leading and held.fencing_token > self.leadership.token:
             # It could only be elected once our key was gone. Cut off from the state
             # service, a leader that was replaced once went on for 39 s.
-            log.info("%s was elected with token %d since: this term is over", sibling, held.token)
+            log.info(
+                "%s was elected with token %d since: this term is over", sibling, held.fencing_token
+            )
             self.depose()
         if self.share:
             return
         if hello.entitled:
-            self._last_share = (now, hello.share)
-        if hello.relays:
+            self._last_share = (now, hello.relayed_fraction)
+        if hello.is_relay:
             self._relays[sibling] = now
         else:
             self._relays.pop(sibling, None)
@@ -454,10 +456,10 @@
     def _ask(self, client: Caller, seq: int, for_s: float) -> str | None:
         """Ask for a promise; which process gave it, None: none did."""
         token = self.leadership.token
-        request = peers.PledgeRequest(self.name, token, seq, for_s, self.share, self.process)
+        request = peers.LeaseVoteRequest(self.name, token, seq, for_s, self.share, self.process)
         try:
-            status, body = client.request("POST", peers.PLEDGE_PATH, encode(request), 1.0)
-            return peers.decode_pledged(body).process if status == 200 else None
+            status, body = client.request("POST", peers.LEASE_VOTE_PATH, encode(request), 1.0)
+            return peers.decode_lease_vote(body).process_id if status == 200 else None
         except (ClientError, ProtocolError) as error:
             log.debug("pledge: %s", error)
             return None
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -22,7 +22,7 @@
 class Reach(Protocol):
     """What follows from who reaches what; see ``appleshift.connectivity``."""
 
-    def told(self, sibling: str, hello: peers.Hello, now: float) -> None: ...
+    def told(self, sibling: str, hello: peers.PeerStatus, now: float) -> None: ...
 
     def restarted(self, sibling: str) -> None: ...
 
@@ -46,7 +46,7 @@
         self._elections = elections
         self._routines = routines
         self._stop = routines.flag()
-        self.said: dict[str, tuple[float, peers.Hello]] = {}
+        self.said: dict[str, tuple[float, peers.PeerStatus]] = {}
         """What each sibling said last, and when."""
         self.since: dict[str, float] = {}
         """Since when it has said something without a gap."""
@@ -66,9 +66,9 @@
         while not self._stop.is_set():
             elections = list(self._elections())
             try:
-                status, body = client.request("GET", peers.HELLO_PATH, None, 0.5)
+                status, body = client.request("GET", peers.PEER_STATUS_PATH, None, 0.5)
                 if status == 200:
-                    self._told(sibling, peers.decode_hello(body), elections)
+                    self._told(sibling, peers.decode_peer_status(body), elections)
             except (ClientError, ProtocolError) as error:
                 log.debug("hello to %s: %s", sibling, error)
                 self.since.pop(sibling, None)
@@ -76,14 +76,14 @@
             cleared = all(election.leadership.cleared(now) for election in elections)
             self._stop.wait(HELLO_GAP_S if cleared else UNCLEARED_GAP_S)
 
-    def _told(self, sibling: str, hello: peers.Hello, elections: list[Election]) -> None:
+    def _told(self, sibling: str, hello: peers.PeerStatus, elections: list[Election]) -> None:
         now = self._routines.now()
         self.said[sibling] = (now, hello)
         self.since.setdefault(sibling, now)
-        self.map_version = max(self.map_version, hello.map_version)
-        before = self._processes.get(sibling, hello.process)
-        self._processes[sibling] = hello.process
-        if before != hello.process:
+        self.map_version = max(self.map_version, hello.shard_map_version)
+        before = self._processes.get(sibling, hello.process_id)
+        self._processes[sibling] = hello.process_id
+        if before != hello.process_id:
             # It may have ended and come back between two of our questions.
             log.info("%s was started anew", sibling)
             self.since[sibling] = now
@@ -91,8 +91,8 @@
             for election in elections:
                 election.restarted(sibling, before)
         self._reach.told(sibling, hello, now)
-        held = {each.share: each for each in hello.shares}
+        held = {each.shard: each for each in hello.held_shards}
         if hello.leading:
-            held[0] = peers.Held(0, hello.token, hello.entitled)
+            held[0] = peers.HeldShard(0, hello.fencing_token, hello.entitled)
         for election in elections:
             election.told(sibling, hello, held.get(election.share))
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -15,7 +15,7 @@
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine, MachineType
 from appleshift.protocol.users import Submission
-from appleshift.protocol.workers import Report
+from appleshift.protocol.workers import Heartbeat
 from appleshift.provisioning.consolidation import Consolidation
 from appleshift.provisioning.pool import Pool
 from appleshift.state.cluster_state import BOOTING, UP, Machine
@@ -105,7 +105,7 @@
             cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
             self.arrivals.append((at, cpus, gpus, spec.spot, within))
 
-    def adopt(self, report: Report) -> Machine | None:
+    def adopt(self, report: Heartbeat) -> Machine | None:
         """A machine we did not know: rented late, or by a leader before us."""
         if report.machine in self.cluster.deleted_machines or not report.addr:
             return None
@@ -119,20 +119,20 @@
             machine.idle_since = self.core.now
         return machine
 
-    def heard(self, machine: Machine, report: Report) -> None:
+    def heard(self, machine: Machine, report: Heartbeat) -> None:
         if machine.status == BOOTING or machine.addr != report.addr:
             machine.status = UP
             machine.addr = report.addr
             machine.idle_since = self.core.now
             self.core.journal.append(records.machine_record(self.cluster, machine))
             self.core.dirty = True
-        if report.notice_s is not None:
+        if report.reclaim_in_s is not None:
             self.core.dirty = True
             if not machine.draining:
-                log.info("machine %s is taken back in %.0f s", machine.name, report.notice_s)
+                log.info("machine %s is taken back in %.0f s", machine.name, report.reclaim_in_s)
                 machine.draining = True
                 self.evict(machine)
-            machine.reclaim_at = self.core.now + max(0.0, report.notice_s)
+            machine.reclaim_at = self.core.now + max(0.0, report.reclaim_in_s)
             self._save_work(machine)
 
     def evict(self, machine: Machine) -> None:
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -22,7 +22,7 @@
 
 from appleshift.contracts.actions import Inspect
 from appleshift.contracts.interfaces import Term
-from appleshift.protocol.workers import ANSWER_S, Report
+from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, Heartbeat
 from appleshift.state.cluster_state import UP, Machine
 
 
@@ -34,16 +34,16 @@
         self._started = core.now
         self._mute_s = core.settings.deployment.workers.lease_s / 2
 
-    def reported(self, machine: Machine, report: Report) -> bool:
+    def reported(self, machine: Machine, report: Heartbeat) -> bool:
         """A report came; true if no copy of it, nor a newer one, was there before."""
         # With its session: an answer to a question may have told of a new one before, in
         # which numbers begin anew. What was renewed there once counted as copies.
-        number = (report.session, report.seq)
+        number = (report.agent_epoch, report.seq)
         if number <= machine.last_heartbeat:
             return False
         now = self._core.now
         if machine.last_heartbeat_at > -math.inf:
-            hears = now - machine.last_heartbeat_at < ANSWER_S
+            hears = now - machine.last_heartbeat_at < HEARTBEAT_TIMEOUT_S
         else:
             # Those that a leader before us knew heard it. A new one shows it first.
             hears = machine.status == UP
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -227,11 +227,11 @@
         if self._started:
             holding.start()
 
-    def _hello(self) -> peers.Hello:
+    def _hello(self) -> peers.PeerStatus:
         now = self.routines.now()
         first = self.holdings[0]
         leadership, election = first.leadership, first.election
-        hello = peers.Hello(
+        hello = peers.PeerStatus(
             election.name,
             leadership.leading,
             leadership.token,
@@ -239,9 +239,9 @@
             election.share_sent if leadership.leading else 0.0,
             # Once a quarter of the machines were sent to a relay that none of them reached.
             election.can_relay() and not self.reach.sight.lost(),
-            process=self._house.mark,
-            sees=self.reach.word(now),
-            sample=[*self.reach.sight.sample] if leadership.leading else [],
+            process_id=self._house.mark,
+            connectivity=self.reach.word(now),
+            worker_sample=[*self.reach.sight.sample] if leadership.leading else [],
         )
         return hello if self.keeper is None else self.keeper.hello(hello, now)
 
--- a/appleshift/protocol/workers.py
+++ b/appleshift/protocol/workers.py
@@ -14,27 +14,27 @@
 SAVING = "saving"
 EXITED = "exited"
 
-ANSWER_S = 4.0
+HEARTBEAT_TIMEOUT_S = 4.0
 """So long does a worker wait for the answer to a report; then it tries the next node."""
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class TaskReport(
+class TaskStatus(
     msgspec.Struct,
     frozen=True,
-    rename={"task": "piece", "attempt": "try", "state": "status", "why": "cause"},
+    rename={"task": "piece", "attempt": "try", "state": "status", "exit_reason": "cause"},
 ):
     """One task as its worker sees it."""
 
     task: str
     attempt: Count
     state: str
-    why: str | None = None
+    exit_reason: str | None = None
     saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     frozen=True,
     rename={
@@ -42,11 +42,11 @@
         "type": "rig_kind",
         "zone": "yard",
         "spot": "loaners",
-        "session": "shift",
         "seq": "tally",
-        "token": "baton",
-        "notice_s": "recall_in_s",
         "tasks": "pieces",
+        "agent_epoch": "shift",
+        "fencing_token": "baton",
+        "reclaim_in_s": "recall_in_s",
     },
 ):
     """All that a worker knows; the larger (session, seq) is the newer."""
@@ -56,65 +56,65 @@
     type: str
     zone: str
     spot: bool
-    session: Count
+    agent_epoch: Count
     seq: Count
-    token: Count
-    tasks: list[TaskReport]
-    notice_s: float | None = None
+    fencing_token: Count
+    tasks: list[TaskStatus]
+    reclaim_in_s: float | None = None
 
 
-class Glance(
+class HeartbeatHeader(
     msgspec.Struct,
     frozen=True,
     gc=False,
     rename={
         "machine": "rig",
         "type": "rig_kind",
-        "session": "shift",
         "seq": "tally",
-        "token": "baton",
-        "notice_s": "recall_in_s",
         "tasks": "pieces",
+        "agent_epoch": "shift",
+        "fencing_token": "baton",
+        "reclaim_in_s": "recall_in_s",
     },
 ):
     """A report at a glance: its tasks are not looked into."""
 
     machine: str
     type: str
-    session: Count
+    agent_epoch: Count
     seq: Count
-    token: Count
+    fencing_token: Count
     tasks: msgspec.Raw
-    notice_s: float | None = None
+    reclaim_in_s: float | None = None
 
 
-_report = msgspec.msgpack.Decoder(Report)
-_glance = msgspec.msgpack.Decoder(Glance)
+_heartbeat_decoder = msgspec.msgpack.Decoder(Heartbeat)
+_header_decoder = msgspec.msgpack.Decoder(HeartbeatHeader)
 
 
-def glance(body: bytes) -> Glance:
-    return decode_as(_glance, body)
+def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
+    return decode_as(_header_decoder, body)
 
 
-def decode_report(body: bytes) -> Report:
-    return decode_as(_report, body)
+def decode_heartbeat(body: bytes) -> Heartbeat:
+    return decode_as(_heartbeat_decoder, body)
 
 
-def start(task: str, attempt: int) -> dict[str, Any]:
+def start_command(task: str, attempt: int) -> dict[str, Any]:
     return {"verb": "run", "piece": task, "try": attempt}
 
 
-def stop(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
     return {"verb": "kill", "piece": task, "try": attempt, "wind_down_s": grace_s}
 
 
-def clear(task: str, attempt: int) -> dict[str, Any]:
+def clear_command(task: str, attempt: int) -> dict[str, Any]:
     return {"verb": "clear", "piece": task, "try": attempt}
 
 
-def answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+def heartbeat_response(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
     """What a report is answered with."""
-    return {"baton": token, "orders": commands}
+    return {"baton": fencing_token, "orders": commands}
 
 
 def direct(token: int, session: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -28,7 +28,7 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
 from appleshift.protocol.wire import encode
-from appleshift.protocol.workers import Report, TaskReport
+from appleshift.protocol.workers import Heartbeat, TaskStatus
 from appleshift.scheduler.job_requests import Requests
 from appleshift.state.cluster_state import (
     ASSIGNED,
@@ -314,7 +314,7 @@
 
     # -- workers ------------------------------------------------------------------
 
-    def report(self, report: Report, slot: Any, tasks: bytes | None = None) -> None:
+    def report(self, report: Heartbeat, slot: Any, tasks: bytes | None = None) -> None:
         """A worker reports: take it in, renew its lease, give it its orders.
 
         ``tasks``: its tasks as they were sent, by which the next one is known to
@@ -328,12 +328,12 @@
             self.reply(slot, 421, {"share": given.shard})
             return
         known = self.cluster.machine(report.machine)
-        if report.token > (self.token if known is None else self.token_for(known)):
+        if report.fencing_token > (self.token if known is None else self.token_for(known)):
             # Somebody was elected after us, whatever our clock says.
             self.reply(slot, 421, workers.redirect(None))
             return
         machine = self._machine_of(report)
-        if machine is None or machine.in_other_shard or report.session < machine.agent_epoch:
+        if machine is None or machine.in_other_shard or report.agent_epoch < machine.agent_epoch:
             self.reply(slot, 503, users.error_body("machine not known here"))
             return
         token = self.token_for(machine)
@@ -341,16 +341,16 @@
         if not self.hearing.reported(machine, report):
             # A copy, or the original after its copy: the lease that its answer may renew
             # was counted with the first one. Whoever renews it tells what has to end.
-            self.reply(slot, 200, workers.answer(token, self.orders.ends(machine)))
+            self.reply(slot, 200, workers.heartbeat_response(token, self.orders.ends(machine)))
             return
         self.observe(machine, report)
         # The worker counts its lease from when it sent this report, which
         # is earlier than now: this bound is on the safe side.
         machine.lease_until = self.now + self.worker_lease_s
         commands = self.orders.answer(machine)
-        answer = workers.answer(token, commands)
+        answer = workers.heartbeat_response(token, commands)
         self.reply(slot, 200, answer)
-        newest = report.seq == machine.seq and report.token == token
+        newest = report.seq == machine.seq and report.fencing_token == token
         if tasks is not None and newest and not commands and machine.needs_no_commands():
             same = (machine.agent_epoch, token, tasks, encode(answer))
             machine.fast_path_entry = self.express.learn(machine.name, same, self.now, report.seq)
@@ -363,18 +363,18 @@
         """
         return max(self.token, machine.min_fencing_token)
 
-    def _machine_of(self, report: Report) -> Machine | None:
+    def _machine_of(self, report: Heartbeat) -> Machine | None:
         machine = self.cluster.machine(report.machine)
         if machine is None:
             machine = self.fleet.adopt(report)
         return machine
 
-    def observe(self, machine: Machine, report: Report) -> None:
-        if report.session > machine.agent_epoch:
+    def observe(self, machine: Machine, report: Heartbeat) -> None:
+        if report.agent_epoch > machine.agent_epoch:
             if machine.agent_epoch:
-                log.info("machine %s moved to session %d", machine.name, report.session)
+                log.info("machine %s moved to session %d", machine.name, report.agent_epoch)
             self.session_over(machine)
-            machine.agent_epoch = report.session
+            machine.agent_epoch = report.agent_epoch
             machine.seq = -1
             # The session's own lease runs from its begin, which is earlier than
             # now. The last session's end must not be taken for this one's.
@@ -384,7 +384,7 @@
         machine.seq = report.seq
         machine.last_heard = self.now
         self.fleet.heard(machine, report)
-        fenced = report.token >= self.token_for(machine)
+        fenced = report.fencing_token >= self.token_for(machine)
         seen: set[tuple[str, int]] = set()
         done: list[TaskRun] = []
         gone: list[TaskRun] = []
@@ -424,7 +424,7 @@
         self,
         machine: Machine,
         run: TaskRun,
-        entry: TaskReport,
+        entry: TaskStatus,
         done: list[TaskRun],
         gone: list[TaskRun],
     ) -> None:
@@ -444,7 +444,7 @@
             machine.cache_image(run.job.image, spec.image_gb, cache)
         if state != EXITED:
             return
-        why = entry.why or "error"
+        why = entry.exit_reason or "error"
         if why == "done" and run.job.status != CANCELLED:
             machine.job_errors.clear()
             if run.running_since:
@@ -459,7 +459,7 @@
             run.job.avoided_machines[machine.index] = self.now + (1.0 if why == "unknown" else 3.0)
         gone.append(run)
 
-    def _stray(self, machine: Machine, entry: TaskReport) -> None:
+    def _stray(self, machine: Machine, entry: TaskStatus) -> None:
         """An attempt that is none of ours: end it, or let it be forgotten."""
         key = (entry.task, entry.attempt)
         exited = entry.state == workers.EXITED
@@ -483,7 +483,7 @@
             self.free(freed, exited=False)
         machine.idle_since = self.now
 
-    def probed(self, name: str, report: Report | None) -> None:
+    def probed(self, name: str, report: Heartbeat | None) -> None:
         """A silent worker answered a probe, or did not."""
         self.fleet.health.probed(name, report is not None)
         machine = self.cluster.machine(name)
@@ -492,7 +492,7 @@
         if machine.in_other_shard:
             # Up, though its holder has not said so: no late boot.
             machine.rented_at = self.now
-        elif report.session >= machine.agent_epoch:
+        elif report.agent_epoch >= machine.agent_epoch:
             self.observe(machine, report)
 
     # -- time -----------------------------------------------------------------------
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -28,7 +28,7 @@
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.wire import ProtocolError
-from appleshift.protocol.workers import Glance
+from appleshift.protocol.workers import HeartbeatHeader
 from appleshift.scheduler.scheduler import Core
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import (
@@ -370,7 +370,7 @@
                 if isinstance(effect, Reply):
                     effect.slot.put((effect.status, effect.body, effect.retry_after))
 
-    def unchanged(self, report: Glance, now: float) -> bytes | None:
+    def unchanged(self, report: HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; asked by connections' routines."""
         core = self.core
         if core is None or not self.leadership.may_answer(now):
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -213,8 +213,8 @@
         found = [Controller(name, held, now - self._began)]
         for sibling in self.house.siblings:
             at, hello = self._neighbours.said.get(sibling, (float("-inf"), None))
-            if hello is not None and now - at < HEARD_S and hello.map_version:
-                count = len(hello.shares) + hello.leading
+            if hello is not None and now - at < HEARD_S and hello.shard_map_version:
+                count = len(hello.held_shards) + hello.leading
                 since = self._neighbours.since.get(sibling, now)
                 found.append(Controller(sibling, count, now - since))
             elif now - self._began < GATHERING_S:
@@ -225,13 +225,19 @@
         """The move that the leader wants, as (share, node)."""
         if self._holdings[0].leadership.may_answer(now):
             return self._move
-        best: tuple[int, peers.Hello] | None = None
+        best: tuple[int, peers.PeerStatus] | None = None
         for at, hello in list(self._neighbours.said.values()):
-            if hello.entitled and now - at < HEARD_S and (best is None or hello.token > best[0]):
-                best = (hello.token, hello)
+            if (
+                hello.entitled
+                and now - at < HEARD_S
+                and (best is None or hello.fencing_token > best[0])
+            ):
+                best = (hello.fencing_token, hello)
         if best is None:
             return None
-        return next(((share, name) for share, name in enumerate(best[1].wanted) if name), None)
+        return next(
+            ((share, name) for share, name in enumerate(best[1].preferred_holders) if name), None
+        )
 
     def _hold_back(self, share: int) -> float:
         """How long others go first in standing for a share that is free."""
@@ -290,10 +296,10 @@
             nodes = min(len(self.house.siblings) + 1, shares)
             core.fleet.hear(int(places * nodes * CLOSED))
 
-    def hello(self, hello: peers.Hello, now: float) -> peers.Hello:
+    def hello(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
         """What this node says of itself, with its shares."""
         shares = [
-            peers.Held(share, holding.leadership.token, holding.leadership.may_answer(now))
+            peers.HeldShard(share, holding.leadership.token, holding.leadership.may_answer(now))
             for share, holding in sorted([*self._holdings.items()])
             if share and holding.leadership.leading
         ]
