--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from appleshift.contracts import events
-from appleshift.leader_election.election import Election
-from appleshift.leader_election.leader_lease import Leadership
+from appleshift.leader_election.election import LeaderElection
+from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.protocol import users, workers
 from appleshift.protocol.wire import encode
 from appleshift.transport.client import Caller
@@ -65,10 +65,10 @@
     """A share, as this node stands to it."""
 
     @property
-    def election(self) -> Election: ...
+    def election(self) -> LeaderElection: ...
 
     @property
-    def leadership(self) -> Leadership: ...
+    def leadership(self) -> LeaderLease: ...
 
     def knows(self, machine: str) -> bool:
         """Has its core that machine?"""
@@ -129,7 +129,7 @@
     def elsewhere(self, replica: ShareReplica) -> bool:
         """Only its holder answers for a share. One whose lease lapsed sends users on to
         its successor; while there is none, its core still knows what is final."""
-        if not replica.leadership.leading:
+        if not replica.leadership.is_leader:
             return True
         holder = replica.election.current_leader()
         return not self.entitled(replica) and holder not in (None, replica.election.name)
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -18,7 +18,7 @@
     respond,
     unavailable,
 )
-from appleshift.leader_election.leader_lease import DRIFT
+from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import Answer
 from appleshift.transport.server import Response
@@ -54,7 +54,7 @@
         if response.status == 201:
             # What this request itself wrote; nobody was told anything of it before.
             return response
-        left_s = replica.leadership.entitled_for_s(self._context.routines.now())
+        left_s = replica.leadership.valid_for_s(self._context.routines.now())
         if left_s <= 0.0 or (response.status == 404 and told is not None):
             return unavailable()
         headers = {**response.headers, VALID_FOR: str(int(left_s * 1000))}
@@ -67,7 +67,7 @@
         if valid_for is None or not valid_for.isdecimal():
             # Final, a refusal, or of a version that does not say.
             return Response(answer.status, answer.body, headers)
-        until = asked_at + int(valid_for) / 1000 / DRIFT
+        until = asked_at + int(valid_for) / 1000 / CLOCK_DRIFT
 
         def revalidate(received: Response) -> Response:
             return received if self._context.routines.now() < until else unavailable()
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -41,7 +41,8 @@
         served = sum(
             1
             for share in wanted
-            if share in self._context.replicas and self._context.replicas[share].election.serves()
+            if share in self._context.replicas
+            and self._context.replicas[share].election.can_serve_users()
         )
         ready = served * 2 >= len(wanted)
         return respond(200 if ready else 503, {"ready": ready})
@@ -51,11 +52,11 @@
         leadership, election = self._context.first.leadership, self._context.first.election
         body = {
             "name": election.name,
-            "leading": leadership.leading,
+            "leading": leadership.is_leader,
             "leader": election.leader,
-            "token": max(leadership.token, leadership.seen_token),
+            "token": max(leadership.fencing_token, leadership.highest_seen_token),
             "relays": election.relays(),
-            "sent_away": election.sent_away(),
+            "sent_away": election.current_relayed_fraction(),
             "hears": self._hears(),
         }
         if self._context.share_map() is not None:
@@ -63,7 +64,9 @@
                 {
                     "share": share,
                     "holder": replica.election.current_leader(),
-                    "token": max(replica.leadership.token, replica.leadership.seen_token),
+                    "token": max(
+                        replica.leadership.fencing_token, replica.leadership.highest_seen_token
+                    ),
                     **replica.view(),
                 }
                 for share, replica in sorted(self._context.replicas.items())
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -33,9 +33,9 @@
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
         replica = self._context.replicas.get(request.shard)
-        given = replica is not None and replica.election.pledge(request)
+        given = replica is not None and replica.election.grant_vote(request)
         return respond(
-            200 if given else 409, peers.LeaseVote(given, self._context.first.election.process)
+            200 if given else 409, peers.LeaseVote(given, self._context.first.election.process_id)
         )
 
     def reach(self, body: bytes) -> Response:
@@ -46,7 +46,7 @@
             return respond(400, users.error_body(error.reason))
         reached = any(self._reaches(addr) for addr in request.addresses)
         return respond(
-            200, peers.ConnectivityReply(reached and self._context.first.election.state_answers())
+            200, peers.ConnectivityReply(reached and self._context.first.election.store_answers())
         )
 
     def share_call(self, body: bytes) -> Response:
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -54,7 +54,7 @@
             return self._closing(self._report_to_share(report, tasks, share))
         election = self._context.first.election
         here = election.name
-        away = election.sent_away()
+        away = election.current_relayed_fraction()
         relay = relay_assignment.place(report.machine, away, election.relays()) if away else None
         if not self._context.elsewhere(self._context.first):
             if relay is not None and relay != here:
@@ -72,7 +72,7 @@
     def _unchanged(self, glance: workers.HeartbeatHeader) -> bytes | None:
         """The answer to a report that says nothing new, if it has come to the right node."""
         election = self._context.first.election
-        away = election.sent_away() if self._context.share_map() is None else 0.0
+        away = election.current_relayed_fraction() if self._context.share_map() is None else 0.0
         if away and relay_assignment.place(glance.machine, away, election.relays()):
             return None
         now = self._context.routines.now()
--- a/appleshift/connectivity/monitor.py
+++ b/appleshift/connectivity/monitor.py
@@ -14,134 +14,137 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SAMPLE = 6
+SAMPLE_SIZE = 6
 """Workers that the leader names for others to ask; over the zones."""
 QUIET_S = 0.8
 """Without a contact for this long, workers are asked one after the other. The leader of a
 dozen machines hears several reports a second; a sample's answers take milliseconds."""
-FLOW = 3
+MIN_HEARTBEATS = 3
 """While workers do not answer, so many reports within that time say that they reach this node."""
-MISSES = 3
+MIN_UNANSWERED = 3
 """So many workers in a row, two of them different if there are two, are no accident."""
-ASK_S = 0.6
-LATE_S = 0.4
+PROBE_TIMEOUT_S = 0.6
+LATE_MARGIN_S = 0.4
 """A question that took so much longer than it may says that this node is late."""
-IDLE_ASK_S = 1.0
+IDLE_PROBE_INTERVAL_S = 1.0
 """A node to which nobody reports asks one worker a second: 2 % of what a report a second
 of each of a hundred machines costs, and some bytes."""
-LONG_S = 10.0
+LONG_SILENCE_S = 10.0
 """After so long without any contact, nothing hangs on a second more."""
-STEADY_S = 3.0
+MIN_UNINTERRUPTED_S = 3.0
 """Whoever is to take over has reached workers without a break for this long. A link that
 comes and goes makes nobody a successor."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ContactSummary:
     """What a node says of its sight, in seconds; None: it had no contact yet."""
 
     age_s: float | None
-    steady_s: float
+    uninterrupted_s: float
 
 
-class Sight:
+class WorkerContacts:
     """Written by connections' routines and those that ask: each field is one object."""
 
     def __init__(self) -> None:
         self.sample: tuple[str, ...] = ()
-        self._contact: float | None = None
-        self._steady_since = float("inf")
+        self._last_contact: float | None = None
+        self._uninterrupted_since = float("inf")
         # Who did not answer since the last contact, and when the first was asked.
-        self._missed: tuple[str, ...] = ()
-        self._missing_since = float("inf")
+        self._unanswered: tuple[str, ...] = ()
+        self._unanswered_since = float("inf")
         # When the last reports came while workers did not answer.
-        self._reports: tuple[float, ...] = ()
-        self._turn = 0
+        self._heartbeat_times: tuple[float, ...] = ()
+        self._next_index = 0
 
-    def offer(self, addresses: Iterable[str]) -> None:
+    def set_sample(self, addresses: Iterable[str]) -> None:
         """Workers that may be asked; of an earlier sample, some of which may be gone by
         now, nothing is remembered."""
-        some = tuple(dict.fromkeys(addresses))[:SAMPLE]
+        some = tuple(dict.fromkeys(addresses))[:SAMPLE_SIZE]
         if some and some != self.sample:
             self.sample = some
 
     def forget(self) -> None:
         """There are no workers: nothing is missed, and nobody waits for their answers."""
-        self.sample = self._missed = ()
+        self.sample = self._unanswered = ()
 
-    def reported(self, now: float) -> None:
+    def heartbeat_received(self, now: float) -> None:
         """A worker's report came in. Once workers do not answer, single ones prove nothing:
         they may have been held up since before the cut, or be copies. One every few seconds
         once kept a leader that no worker reached for longer than the workers' leases."""
-        if self._missed:
-            times = self._reports = (*self._reports[1 - FLOW :], now)
-            if len(times) < FLOW or now - times[0] > QUIET_S:
+        if self._unanswered:
+            times = self._heartbeat_times = (*self._heartbeat_times[1 - MIN_HEARTBEATS :], now)
+            if len(times) < MIN_HEARTBEATS or now - times[0] > QUIET_S:
                 return
-        self.heard(now)
+        self.contact(now)
 
-    def heard(self, now: float) -> None:
+    def contact(self, now: float) -> None:
         """A worker answered, or reports flow."""
-        if self._contact is None or now - self._contact > QUIET_S + IDLE_ASK_S + ASK_S:
-            self._steady_since = now
-        self._contact = now
-        if self._missed:
-            self._missed = ()
-
-    def asked(self, address: str, sent: float, now: float, answered: bool) -> None:
+        if (
+            self._last_contact is None
+            or now - self._last_contact > QUIET_S + IDLE_PROBE_INTERVAL_S + PROBE_TIMEOUT_S
+        ):
+            self._uninterrupted_since = now
+        self._last_contact = now
+        if self._unanswered:
+            self._unanswered = ()
+
+    def probed(self, address: str, sent: float, now: float, answered: bool) -> None:
         if answered:
-            self.heard(now)
-        elif now - sent > ASK_S + LATE_S:
+            self.contact(now)
+        elif now - sent > PROBE_TIMEOUT_S + LATE_MARGIN_S:
             # It was this node that was late.
-            self._missed = ()
-        elif self._contact is None or sent >= self._contact:
-            if not self._missed:
-                self._missing_since = sent
-            self._missed = (*self._missed[1 - SAMPLE :], address)
+            self._unanswered = ()
+        elif self._last_contact is None or sent >= self._last_contact:
+            if not self._unanswered:
+                self._unanswered_since = sent
+            self._unanswered = (*self._unanswered[1 - SAMPLE_SIZE :], address)
 
-    def next(self, now: float) -> str | None:
+    def next_to_probe(self, now: float) -> str | None:
         """Whom to ask now, if anybody."""
-        return self.any() if self.due(now) else None
+        return self.next_in_sample() if self.probe_due(now) else None
 
-    def any(self) -> str | None:
+    def next_in_sample(self) -> str | None:
         """The next worker of the sample, whoever needs an answer now; None without one."""
-        self._turn += 1
+        self._next_index += 1
         # Another routine may put another in its place, or none.
         sample = self.sample
-        return sample[self._turn % len(sample)] if sample else None
+        return sample[self._next_index % len(sample)] if sample else None
 
-    def due(self, now: float) -> bool:
-        contact = self._contact
-        if contact is None or self._missed:
+    def probe_due(self, now: float) -> bool:
+        contact = self._last_contact
+        if contact is None or self._unanswered:
             return True
         return now - contact >= QUIET_S
 
     def pause_s(self, now: float) -> float:
         """How soon to look again."""
-        contact = self._contact
-        if contact is None or now - contact > LONG_S:
-            return IDLE_ASK_S
-        return 0.05 if self._missed or now - contact >= QUIET_S else 0.2
+        contact = self._last_contact
+        if contact is None or now - contact > LONG_SILENCE_S:
+            return IDLE_PROBE_INTERVAL_S
+        return 0.05 if self._unanswered or now - contact >= QUIET_S else 0.2
 
-    def suspect(self) -> bool:
+    def is_suspect(self) -> bool:
         """A worker did not answer: several are asked at once until one does."""
-        return bool(self._missed)
+        return bool(self._unanswered)
 
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         """No worker answers any more, as far as this node can tell."""
-        missed = self._missed
-        return len(missed) >= MISSES and len({*missed}) >= min(2, len(self.sample))
+        missed = self._unanswered
+        return len(missed) >= MIN_UNANSWERED and len({*missed}) >= min(2, len(self.sample))
 
     @property
-    def missing_since(self) -> float:
+    def unanswered_since(self) -> float:
         """When the first worker was asked that did not answer."""
-        return self._missing_since if self._missed else float("inf")
+        return self._unanswered_since if self._unanswered else float("inf")
 
-    def fresh(self, now: float, within_s: float) -> bool:
+    def had_contact_within(self, now: float, within_s: float) -> bool:
         """Was there a contact so lately?"""
-        return self._contact is not None and now - self._contact < within_s
+        return self._last_contact is not None and now - self._last_contact < within_s
 
-    def seen(self, now: float) -> Seen:
-        if self._contact is None:
-            return Seen(None, 0.0)
-        steady = 0.0 if self._missed else max(0.0, now - self._steady_since)
-        return Seen(max(0.0, now - self._contact), steady)
+    def summary(self, now: float) -> ContactSummary:
+        if self._last_contact is None:
+            return ContactSummary(None, 0.0)
+        steady = 0.0 if self._unanswered else max(0.0, now - self._uninterrupted_since)
+        return ContactSummary(max(0.0, now - self._last_contact), steady)
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -31,129 +31,129 @@
 from collections import deque
 from dataclasses import dataclass
 
-DRIFT = 1.002
+CLOCK_DRIFT = 1.002
 MARGIN_S = 0.05
-ENDED_KEPT = 64
+ENDED_PROCESSES_KEPT = 64
 """Requests of processes that ended before so many others are too old to arrive."""
 
 
 @dataclass(slots=True)
-class _Pledge:
+class _GrantedVote:
     leader: str
-    process: str
-    token: int
+    process_id: str
+    fencing_token: int
     seq: int
     until: float
 
 
-class Leadership:
+class LeaderLease:
     """Lease and pledges, seen from one node."""
 
-    def __init__(self, siblings: list[str], pledge_s: float, now: float) -> None:
+    def __init__(self, peers: list[str], vote_s: float, now: float) -> None:
         self._lock = threading.Lock()
-        self._siblings = siblings
-        self._pledge_s = pledge_s
+        self._peers = peers
+        self._vote_s = vote_s
         # A promise made before a restart holds until then.
-        self._cleared_at = now + pledge_s * DRIFT + MARGIN_S if siblings else now
-        self._cleared_by: set[str] = set()
-        self._given: _Pledge | None = None
-        self._ended: deque[str] = deque(maxlen=ENDED_KEPT)
-        self._standing = False
-        self._unsettled = False
+        self._startup_hold_until = now + vote_s * CLOCK_DRIFT + MARGIN_S if peers else now
+        self._peers_not_leading: set[str] = set()
+        self._vote_given: _GrantedVote | None = None
+        self._ended_processes: deque[str] = deque(maxlen=ENDED_PROCESSES_KEPT)
+        self._is_candidate = False
+        self._candidacy_unresolved = False
         self._lease_until = 0.0
-        self._granted: dict[str, float] = {}
+        self._votes_until: dict[str, float] = {}
         # The siblings' processes, as they were heard while this node was entitled.
-        self._heard: dict[str, str] = {}
-        self._pledge_until = 0.0
-        self.leading = False
-        self.token = 0
-        self.seen_token = 0
+        self._peer_processes: dict[str, str] = {}
+        self._quorum_until = 0.0
+        self.is_leader = False
+        self.fencing_token = 0
+        self.highest_seen_token = 0
 
     # -- what this node may do ------------------------------------------------
 
     def may_write(self, now: float) -> bool:
-        return self.leading and now < self._lease_until
+        return self.is_leader and now < self._lease_until
 
     def may_answer(self, now: float) -> bool:
-        return self.leading and (now < self._lease_until or now < self._pledge_until)
+        return self.is_leader and (now < self._lease_until or now < self._quorum_until)
 
-    def entitled_for_s(self, now: float) -> float:
+    def valid_for_s(self, now: float) -> float:
         """For how long this node may still answer, whatever happens to it; 0: it may not."""
-        if not self.leading:
+        if not self.is_leader:
             return 0.0
-        return max(0.0, self._lease_until - now, self._pledge_until - now)
+        return max(0.0, self._lease_until - now, self._quorum_until - now)
 
     # -- standing ---------------------------------------------------------------
 
-    def sibling_cleared(self, sibling: str) -> None:
+    def peer_does_not_lead(self, peer: str) -> None:
         """A sibling said, after our start, that it does not lead."""
         with self._lock:
-            self._cleared_by.add(sibling)
+            self._peers_not_leading.add(peer)
 
-    def cleared(self, now: float) -> bool:
-        return now >= self._cleared_at or self._cleared_by.issuperset(self._siblings)
+    def startup_hold_over(self, now: float) -> bool:
+        return now >= self._startup_hold_until or self._peers_not_leading.issuperset(self._peers)
 
-    def begin_standing(self, now: float) -> bool:
+    def begin_candidacy(self, now: float) -> bool:
         with self._lock:
-            pledged = self._given is not None and now < self._given.until
-            if self.leading or pledged or not self.cleared(now):
+            pledged = self._vote_given is not None and now < self._vote_given.until
+            if self.is_leader or pledged or not self.startup_hold_over(now):
                 return False
-            self._standing = True
+            self._is_candidate = True
             return True
 
-    def end_standing(self, settled: bool) -> None:
+    def end_candidacy(self, resolved: bool) -> None:
         """``settled``: no transaction of ours can elect us any more."""
         with self._lock:
-            self._standing = False
-            self._unsettled = not settled
+            self._is_candidate = False
+            self._candidacy_unresolved = not resolved
 
-    def unsettled(self) -> bool:
-        return self._unsettled
+    def candidacy_unresolved(self) -> bool:
+        return self._candidacy_unresolved
 
     def won(self, token: int, lease_sent: float, ttl_s: float) -> None:
         with self._lock:
-            self._standing = self._unsettled = False
-            self.leading = True
-            self.token = self.seen_token = token
-            self._granted.clear()
-            self._heard.clear()
-            self._pledge_until = 0.0
-            self._lease_until = lease_sent + ttl_s / DRIFT - MARGIN_S
+            self._is_candidate = self._candidacy_unresolved = False
+            self.is_leader = True
+            self.fencing_token = self.highest_seen_token = token
+            self._votes_until.clear()
+            self._peer_processes.clear()
+            self._quorum_until = 0.0
+            self._lease_until = lease_sent + ttl_s / CLOCK_DRIFT - MARGIN_S
 
     def renewed(self, sent: float, ttl_s: float) -> None:
         with self._lock:
-            self._lease_until = max(self._lease_until, sent + ttl_s / DRIFT - MARGIN_S)
+            self._lease_until = max(self._lease_until, sent + ttl_s / CLOCK_DRIFT - MARGIN_S)
 
     def lost(self) -> None:
         with self._lock:
-            self.leading = False
-            self._lease_until = self._pledge_until = 0.0
-            self._granted.clear()
+            self.is_leader = False
+            self._lease_until = self._quorum_until = 0.0
+            self._votes_until.clear()
 
     # -- pledges --------------------------------------------------------------------
 
-    def heard(self, sibling: str, process: str, now: float) -> None:
+    def peer_heard(self, peer: str, process: str, now: float) -> None:
         """That process of a sibling said something; it counts if we were entitled by then."""
         with self._lock:
             if process and self.may_answer(now):
-                self._heard[sibling] = process
+                self._peer_processes[peer] = process
 
-    def pledged_by(self, sibling: str, sent: float, now: float, process: str = "") -> None:
+    def record_vote(self, peer: str, sent: float, now: float, process: str = "") -> None:
         """A sibling's process promised; its time runs from when it got the request."""
         with self._lock:
-            same = bool(process) and self._heard.get(sibling) == process
-            if not self.leading or not (same or self.may_answer(now)):
+            same = bool(process) and self._peer_processes.get(peer) == process
+            if not self.is_leader or not (same or self.may_answer(now)):
                 # The chain is broken: an earlier process of it may have been elected.
                 return
-            self._granted[sibling] = sent + self._pledge_s / DRIFT - MARGIN_S
-            if self._granted.keys() >= set(self._siblings):
-                self._pledge_until = min(self._granted.values())
+            self._votes_until[peer] = sent + self._vote_s / CLOCK_DRIFT - MARGIN_S
+            if self._votes_until.keys() >= set(self._peers):
+                self._quorum_until = min(self._votes_until.values())
 
-    def release_pledges(self) -> None:
+    def release_votes(self) -> None:
         """The lease holds again: the siblings may be told that they are free."""
         with self._lock:
-            self._granted.clear()
-            self._pledge_until = 0.0
+            self._votes_until.clear()
+            self._quorum_until = 0.0
 
     def process_ended(self, process: str) -> None:
         """A later process of the same node has answered: nothing binds us to this one."""
@@ -161,28 +161,33 @@
             # Of an older version, which does not say.
             return
         with self._lock:
-            self._ended.append(process)
-            if self._given is not None and self._given.process == process:
-                self._given.until = 0.0
+            self._ended_processes.append(process)
+            if self._vote_given is not None and self._vote_given.process_id == process:
+                self._vote_given.until = 0.0
 
-    def give_pledge(
+    def grant_vote(
         self, leader: str, token: int, seq: int, for_s: float, now: float, process: str = ""
     ) -> bool:
         """Promise not to stand for a while; False if that cannot be promised."""
         with self._lock:
-            if self.leading or self._standing or self._unsettled or token < self.seen_token:
+            if (
+                self.is_leader
+                or self._is_candidate
+                or self._candidacy_unresolved
+                or token < self.highest_seen_token
+            ):
                 return False
-            if process in self._ended:
+            if process in self._ended_processes:
                 return False
-            given = self._given
-            if given is not None and (token, seq) <= (given.token, given.seq):
+            given = self._vote_given
+            if given is not None and (token, seq) <= (given.fencing_token, given.seq):
                 # Delivered late: it must not undo a newer request.
                 return False
             if given is not None and given.leader != leader and now < given.until:
                 return False
             # A promise outlasts its asker's count of it; none is made that a
             # restart would not wait out.
-            until = now + min(for_s, self._pledge_s) * DRIFT if for_s > 0 else 0.0
-            self.seen_token = token
-            self._given = _Pledge(leader, process, token, seq, until)
+            until = now + min(for_s, self._vote_s) * CLOCK_DRIFT if for_s > 0 else 0.0
+            self.highest_seen_token = token
+            self._vote_given = _GrantedVote(leader, process, token, seq, until)
             return True
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -21,7 +21,7 @@
 RETRY_S = 0.15
 
 
-class Committer:
+class LogCommitter:
     """One routine for a share; it has at most one transaction under way."""
 
     def __init__(
@@ -35,7 +35,7 @@
         self._name = name
         self._store = store
         self._post = post
-        self._current = current
+        self._current_term = current
         self._routines = routines
         self._queue = routines.mailbox()
         self._stop = routines.flag()
@@ -55,17 +55,17 @@
             entry = self._queue.get()
             if entry is None:
                 return
-            self._settle(*entry)
+            self._commit(*entry)
 
-    def _settle(self, txn: Transaction, term: Any) -> None:
+    def _commit(self, txn: Transaction, term: Any) -> None:
         """Send it again and again: its guards make a second execution fail."""
-        while not self._stop.is_set() and self._current() is term:
+        while not self._stop.is_set() and self._current_term() is term:
             try:
                 revision = self._store.compare_and_swap(txn.guards, txn.changes)
                 self._post(events.Committed(term, revision))
                 return
             except CompareFailedError as error:
-                if txn.probe_key and self._applied(txn, term):
+                if txn.probe_key and self._already_applied(txn, term):
                     return
                 log.info("deposed: guards failed on %s", error)
                 self._post(events.Deposed(term))
@@ -79,9 +79,9 @@
                 self._post(events.Stalled(term))
             self._stop.wait(RETRY_S)
 
-    def _applied(self, txn: Transaction, term: Any) -> bool:
+    def _already_applied(self, txn: Transaction, term: Any) -> bool:
         """Was it an earlier copy of this transaction that got through?"""
-        while not self._stop.is_set() and self._current() is term:
+        while not self._stop.is_set() and self._current_term() is term:
             try:
                 item = self._store.get(txn.probe_key)
             except StoreError:
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from appleshift.leader_election.election import Election
+from appleshift.leader_election.election import LeaderElection
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError
 from appleshift.transport.client import Caller, ClientError
@@ -19,80 +19,82 @@
 log = logging.getLogger(__name__)
 
 
-class Reach(Protocol):
+class PeerStatusListener(Protocol):
     """What follows from who reaches what; see ``appleshift.connectivity``."""
 
-    def told(self, sibling: str, hello: peers.PeerStatus, now: float) -> None: ...
+    def peer_status_received(self, sibling: str, hello: peers.PeerStatus, now: float) -> None: ...
 
-    def restarted(self, sibling: str) -> None: ...
+    def peer_restarted(self, sibling: str) -> None: ...
 
 
-HELLO_GAP_S = 0.6
-UNCLEARED_GAP_S = 0.3
+STATUS_INTERVAL_S = 0.6
+STARTUP_STATUS_INTERVAL_S = 0.3
 
 
-class Neighbours:
+class PeerMonitor:
     """One routine for each sibling."""
 
     def __init__(
         self,
         siblings: dict[str, Caller],
-        elections: Callable[[], Iterable[Election]],
+        elections: Callable[[], Iterable[LeaderElection]],
         routines: Routines,
-        reach: Reach,
+        reach: PeerStatusListener,
     ) -> None:
-        self._reach = reach
-        self._siblings = siblings
+        self._connectivity = reach
+        self._peer_clients = siblings
         self._elections = elections
         self._routines = routines
         self._stop = routines.flag()
-        self.said: dict[str, tuple[float, peers.PeerStatus]] = {}
+        self.last_status: dict[str, tuple[float, peers.PeerStatus]] = {}
         """What each sibling said last, and when."""
-        self.since: dict[str, float] = {}
+        self.reachable_since: dict[str, float] = {}
         """Since when it has said something without a gap."""
-        self._processes: dict[str, str] = {}
-        self.map_version = 0
+        self._process_ids: dict[str, str] = {}
+        self.shard_map_version = 0
         """The newest map of shares that a sibling goes by; 0: none does."""
 
     def start(self) -> None:
-        for sibling in self._siblings:
-            self._routines.spawn(f"hello-{sibling}", self._ask, sibling)
+        for sibling in self._peer_clients:
+            self._routines.spawn(f"hello-{sibling}", self._poll_peer, sibling)
 
     def stop(self) -> None:
         self._stop.set()
 
-    def _ask(self, sibling: str) -> None:
-        client = self._siblings[sibling]
+    def _poll_peer(self, sibling: str) -> None:
+        client = self._peer_clients[sibling]
         while not self._stop.is_set():
             elections = list(self._elections())
             try:
                 status, body = client.request("GET", peers.PEER_STATUS_PATH, None, 0.5)
                 if status == 200:
-                    self._told(sibling, peers.decode_peer_status(body), elections)
+                    self._status_received(sibling, peers.decode_peer_status(body), elections)
             except (ClientError, ProtocolError) as error:
                 log.debug("hello to %s: %s", sibling, error)
-                self.since.pop(sibling, None)
+                self.reachable_since.pop(sibling, None)
             now = self._routines.now()
-            cleared = all(election.leadership.cleared(now) for election in elections)
-            self._stop.wait(HELLO_GAP_S if cleared else UNCLEARED_GAP_S)
+            cleared = all(election.lease.startup_hold_over(now) for election in elections)
+            self._stop.wait(STATUS_INTERVAL_S if cleared else STARTUP_STATUS_INTERVAL_S)
 
-    def _told(self, sibling: str, hello: peers.PeerStatus, elections: list[Election]) -> None:
+    def _status_received(
+        self, sibling: str, hello: peers.PeerStatus, elections: list[LeaderElection]
+    ) -> None:
         now = self._routines.now()
-        self.said[sibling] = (now, hello)
-        self.since.setdefault(sibling, now)
-        self.map_version = max(self.map_version, hello.shard_map_version)
-        before = self._processes.get(sibling, hello.process_id)
-        self._processes[sibling] = hello.process_id
+        self.last_status[sibling] = (now, hello)
+        self.reachable_since.setdefault(sibling, now)
+        self.shard_map_version = max(self.shard_map_version, hello.shard_map_version)
+        before = self._process_ids.get(sibling, hello.process_id)
+        self._process_ids[sibling] = hello.process_id
         if before != hello.process_id:
             # It may have ended and come back between two of our questions.
             log.info("%s was started anew", sibling)
-            self.since[sibling] = now
-            self._reach.restarted(sibling)
+            self.reachable_since[sibling] = now
+            self._connectivity.peer_restarted(sibling)
             for election in elections:
-                election.restarted(sibling, before)
-        self._reach.told(sibling, hello, now)
+                election.peer_restarted(sibling, before)
+        self._connectivity.peer_status_received(sibling, hello, now)
         held = {each.shard: each for each in hello.held_shards}
         if hello.leading:
             held[0] = peers.HeldShard(0, hello.fencing_token, hello.entitled)
         for election in elections:
-            election.told(sibling, hello, held.get(election.share))
+            election.peer_status_received(sibling, hello, held.get(election.shard))
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -12,14 +12,14 @@
 from typing import TYPE_CHECKING
 
 from appleshift.api.router import RequestRouter
-from appleshift.connectivity.hand_over import Reach
-from appleshift.connectivity.monitor import SAMPLE
+from appleshift.connectivity.hand_over import ConnectivityMonitor
+from appleshift.connectivity.monitor import SAMPLE_SIZE
 from appleshift.contracts import events
 from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
 from appleshift.heartbeat_ingest import relay_assignment
-from appleshift.leader_election.election import Election
-from appleshift.leader_election.leader_lease import Leadership
-from appleshift.leader_election.peer_monitor import Neighbours
+from appleshift.leader_election.election import LeaderElection
+from appleshift.leader_election.leader_lease import LeaderLease
+from appleshift.leader_election.peer_monitor import PeerMonitor
 from appleshift.node_limits.node_limits import Capacity, Load
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
@@ -98,17 +98,17 @@
         )
         self.holdings = {0: Holding(self._house)}
         self.keeper: Keeper | None = None
-        self.reach = Reach(
+        self.reach = ConnectivityMonitor(
             self.workers.reaches,
             lambda: self.store.is_answering,
-            lambda: any(each.leadership.leading for each in [*self.holdings.values()]),
+            lambda: any(each.leadership.is_leader for each in [*self.holdings.values()]),
             lambda: self._post(events.GiveUp()),
             siblings,
             routines,
         )
         if siblings:
-            self._house.held_back = self.reach.held_back
-        self._neighbours = Neighbours(siblings, self._elections, routines, self.reach)
+            self._house.held_back = self.reach.candidacy_delay_s
+        self._neighbours = PeerMonitor(siblings, self._elections, routines, self.reach)
         self.router = RequestRouter(
             self.holdings,
             siblings,
@@ -121,7 +121,7 @@
             self._hello,
             self._map,
             lambda: self._connections() > CROWDED * capacity.connections,
-            self.reach.heard,
+            self.reach.heartbeat_received,
         )
         self._load = Load(deployment.machine_limits, capacity, routines.now())
         self._listeners: list[Listener] = []
@@ -132,11 +132,11 @@
     # The first share's, which is the leader's.
 
     @property
-    def leadership(self) -> Leadership:
+    def leadership(self) -> LeaderLease:
         return self.holdings[0].leadership
 
     @property
-    def election(self) -> Election:
+    def election(self) -> LeaderElection:
         return self.holdings[0].election
 
     @property
@@ -206,7 +206,7 @@
 
     # -- shares ------------------------------------------------------------------
 
-    def _elections(self) -> list[Election]:
+    def _elections(self) -> list[LeaderElection]:
         return [holding.election for holding in [*self.holdings.values()]]
 
     def _map(self) -> ShareMap | None:
@@ -233,15 +233,15 @@
         leadership, election = first.leadership, first.election
         hello = peers.PeerStatus(
             election.name,
-            leadership.leading,
-            leadership.token,
+            leadership.is_leader,
+            leadership.fencing_token,
             leadership.may_answer(now),
-            election.share_sent if leadership.leading else 0.0,
+            election.relayed_fraction if leadership.is_leader else 0.0,
             # Once a quarter of the machines were sent to a relay that none of them reached.
-            election.can_relay() and not self.reach.sight.lost(),
+            election.can_relay() and not self.reach.worker_contacts.is_lost(),
             process_id=self._house.mark,
-            connectivity=self.reach.word(now),
-            worker_sample=[*self.reach.sight.sample] if leadership.leading else [],
+            connectivity=self.reach.own_connectivity(now),
+            worker_sample=[*self.reach.worker_contacts.sample] if leadership.is_leader else [],
         )
         return hello if self.keeper is None else self.keeper.hello(hello, now)
 
@@ -257,7 +257,7 @@
                 log.exception("core failed: giving up this term")
                 for holding in [*self.holdings.values()]:
                     holding.core = holding.term = None
-                    holding.election.depose()
+                    holding.election.step_down()
                 self.cloud.lead(None)
 
     def _round(self) -> None:
@@ -278,7 +278,7 @@
             holding.decide()
         if self.keeper is not None:
             self.keeper.step(self.routines.now())
-        elif self._neighbours.map_version:
+        elif self._neighbours.shard_map_version:
             # A sibling goes by a map of shares that this node was not told of.
             self._keep()
         core = self.core
@@ -308,14 +308,14 @@
             return
         self._next_sample = now + SAMPLE_GAP_S
         if not core.cluster.machines:
-            self.reach.sight.forget()
+            self.reach.worker_contacts.forget()
         by_zone: dict[int, list[str]] = {}
         for machine in core.cluster.machines.values():
             some = by_zone.setdefault(machine.zone, [])
-            if machine.addr and now - machine.last_heard < SAMPLE_GAP_S and len(some) < SAMPLE:
+            if machine.addr and now - machine.last_heard < SAMPLE_GAP_S and len(some) < SAMPLE_SIZE:
                 some.append(machine.addr)
         rows = zip_longest(*(by_zone[zone] for zone in sorted(by_zone)))
-        self.reach.sight.offer(address for row in rows for address in row if address)
+        self.reach.worker_contacts.set_sample(address for row in rows for address in row if address)
 
     def _spread(self, core: Core, now: float) -> None:
         """Send some machines' reports to other nodes if they are too many for this one."""
@@ -332,8 +332,8 @@
             return
         core.fleet.hear(relay_assignment.audible(places, relays))
         share = relay_assignment.share(
-            len(core.cluster.machines), places, relays, self.election.share_sent
+            len(core.cluster.machines), places, relays, self.election.relayed_fraction
         )
-        if share != self.election.share_sent:
+        if share != self.election.relayed_fraction:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
-            self.election.share_sent = share
+            self.election.relayed_fraction = share
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -19,9 +19,9 @@
 )
 from appleshift.contracts.interfaces import Sharing
 from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
-from appleshift.leader_election.election import Election, Term
-from appleshift.leader_election.leader_lease import Leadership
-from appleshift.leader_election.log_committer import Committer
+from appleshift.leader_election.election import LeaderElection, LeaderTerm
+from appleshift.leader_election.leader_lease import LeaderLease
+from appleshift.leader_election.log_committer import LogCommitter
 from appleshift.objectives.achieved import Served
 from appleshift.placement.counted_resources import Seats
 from appleshift.protocol import users
@@ -54,7 +54,7 @@
 class Keeper(Protocol):
     """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
-    def sharing(self, term: Term, replay: LogReplayer) -> Sharing | None:
+    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> Sharing | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -101,8 +101,8 @@
         self.house = house
         self.share = share
         routines, operator = house.routines, house.operator
-        self.leadership = Leadership([*house.siblings], operator.pledge_s, routines.now())
-        self.election = Election(
+        self.leadership = LeaderLease([*house.siblings], operator.pledge_s, routines.now())
+        self.election = LeaderElection(
             house.settings.name,
             house.store,
             house.siblings,
@@ -110,18 +110,18 @@
             operator,
             on_won=lambda term: house.post(events.Won(term)),
             on_lost=lambda: house.post(events.Lost(share)),
-            mark=house.mark if not share else f"{house.mark}.s{share}",
+            process_mark=house.mark if not share else f"{house.mark}.s{share}",
             routines=routines,
-            share=share,
-            guards=guards,
+            shard=share,
+            extra_guards=guards,
             # Who holds further shares is the leader's to say.
-            hold_back=hold_back if share else lambda: house.held_back(),
-            process=house.mark,
+            candidacy_delay_s=hold_back if share else lambda: house.held_back(),
+            process_id=house.mark,
         )
         self.core: Core | None = None
         self.served: Served | None = None
-        self.term: Term | None = None
-        self.committer = Committer(
+        self.term: LeaderTerm | None = None
+        self.committer = LogCommitter(
             house.store,
             house.post,
             lambda: self.term,
@@ -189,7 +189,7 @@
             core.stalled()
         elif isinstance(event, events.Deposed):
             self.end()
-            self.election.depose()
+            self.election.step_down()
         elif isinstance(event, events.Types):
             core.fleet.types(event.types)
         elif isinstance(event, events.Listed):
@@ -238,7 +238,7 @@
             self.core.draining = True
             self._drain_since = self.house.routines.now()
 
-    def _entitled(self, term: Term | None) -> Callable[[], bool]:
+    def _entitled(self, term: LeaderTerm | None) -> Callable[[], bool]:
         """Asked again right before something changes outside."""
         return lambda: self.term is term and self.leadership.may_answer(self.house.routines.now())
 
@@ -273,16 +273,16 @@
 
     # -- terms --------------------------------------------------------------------------
 
-    def _begin(self, term: Term) -> None:
+    def _begin(self, term: LeaderTerm) -> None:
         """Recover what is durable; only then does anyone get an answer."""
         house = self.house
         deployment = house.settings.deployment
         began = house.routines.now()
         prefix = shard_prefix(self.share)
         while True:
-            if house.stop.is_set() or not self.leadership.leading:
+            if house.stop.is_set() or not self.leadership.is_leader:
                 return
-            if self.leadership.token != term.token:
+            if self.leadership.fencing_token != term.fencing_token:
                 return
             replay = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_trail)
             try:
@@ -293,7 +293,7 @@
                 break
             except CompareFailedError as error:
                 log.info("deposed in recovery: guards failed on %s", error)
-                self.election.depose()
+                self.election.step_down()
                 return
             except (StoreError, ClientError, ProtocolError) as error:
                 log.info("recovery: %s", error)
@@ -303,8 +303,8 @@
         parts = 1 if sharing is None else sharing.shares
         journal = WriteAheadLog(
             leader_key=self.election.key,
-            leader_version=term.version,
-            term_id=term.mark,
+            leader_version=term.key_version,
+            term_id=term.term_id,
             write_rps=max(1.0, limits.write_rps * house.operator.write_share / parts),
             value_bytes=int(limits.value_kb * 1024),
             max_transaction_ops=limits.txn_ops,
@@ -314,7 +314,7 @@
             log_bytes=recovered.log_bytes,
             now=now,
             prefix=prefix,
-            extra_guards=term.also,
+            extra_guards=term.extra_guards,
         )
         journal.remove_keys(recovered.orphaned_keys)
         self._drain_since = None
@@ -322,7 +322,7 @@
             house.settings,
             house.operator,
             self.leadership,
-            term.token,
+            term.fencing_token,
             replay,
             journal,
             house.routines.now,
@@ -333,18 +333,20 @@
         self.served = Served(self.core.cluster, self.core.aims, now, house.routines.wall())
         self.term = term
         if not self.share:
-            self.election.share_sent = self.election.last_share()
+            self.election.relayed_fraction = self.election.recent_relayed_fraction()
             house.cloud.lead(term)
         log.info(
             "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
             f" share {self.share}" if self.share else "",
-            term.token,
+            term.fencing_token,
             len(replay.cluster.jobs),
             len(replay.cluster.machines),
             (now - began) * 1000,
         )
 
-    def _counted(self, replay: LogReplayer, journal: WriteAheadLog, term: Term) -> Seats | None:
+    def _counted(
+        self, replay: LogReplayer, journal: WriteAheadLog, term: LeaderTerm
+    ) -> Seats | None:
         """Counted resources, if there are any: in a file of ours or in the log.
 
         All of them are counted in the first share, which decides for the jobs
@@ -354,7 +356,9 @@
             return None
         from appleshift.counted_resources.scheduler_part import build
 
-        return build(self.house.operator, replay, journal, term.token, self.house.routines.wall())
+        return build(
+            self.house.operator, replay, journal, term.fencing_token, self.house.routines.wall()
+        )
 
     def end(self) -> None:
         core = self.core
@@ -362,7 +366,7 @@
         self.term = None
         self._drain_since = None
         if not self.share:
-            self.election.share_sent = 0.0
+            self.election.relayed_fraction = 0.0
             self.house.cloud.lead(None)
         if core is not None:
             core.abandon()
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -23,8 +23,8 @@
 
 from appleshift.contracts import events
 from appleshift.contracts.actions import CallShare
-from appleshift.leader_election.election import HEARD_S, Term
-from appleshift.leader_election.peer_monitor import Neighbours
+from appleshift.leader_election.election import PEER_STATUS_VALID_S, LeaderTerm
+from appleshift.leader_election.peer_monitor import PeerMonitor
 from appleshift.node_limits.node_limits import Capacity
 from appleshift.protocol import kv, peers
 from appleshift.protocol.sharding import (
@@ -68,7 +68,7 @@
         self,
         house: House,
         holdings: Mapping[int, Holding],
-        neighbours: Neighbours,
+        neighbours: PeerMonitor,
         grow: Callable[[Holding], None],
     ) -> None:
         self.house = house
@@ -96,7 +96,7 @@
         """Learn of the map once there is one, and whenever a sibling has a newer."""
         while not self.house.stop.is_set():
             try:
-                if self.map is None or self._neighbours.map_version > self.version:
+                if self.map is None or self._neighbours.shard_map_version > self.version:
                     self._adopt(*self._look())
             except (StoreError, ProtocolError) as error:
                 log.debug("map of shares: %s", error)
@@ -127,22 +127,22 @@
         known, version = self.map, self.version
         return None if known is None or known.changing else ((MAP_KEY, version),)
 
-    def sharing(self, term: Term, replay: LogReplayer) -> Sharing | None:
+    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> Sharing | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
         TxnFailedError if the term is over.
         """
-        if not term.share:
+        if not term.shard:
             self._settle(term, replay)
-        elif term.also != ((MAP_KEY, self.version),):
+        elif term.extra_guards != ((MAP_KEY, self.version),):
             # Elected under a map that is not in force: nothing could be written.
             raise CompareFailedError([MAP_KEY])
         if self.map is None:
             return None
-        return Sharing(term.share, self.map, self.house.settings.deployment.teams)
+        return Sharing(term.shard, self.map, self.house.settings.deployment.teams)
 
-    def _settle(self, term: Term, replay: LogReplayer) -> None:
+    def _settle(self, term: LeaderTerm, replay: LogReplayer) -> None:
         """The leader makes the map what the operators want it to be."""
         value, version = self._look()
         wanted = self.house.operator.shares
@@ -172,11 +172,11 @@
         log.info("map of shares, version %d: %s", version, msgspec.json.encode(epochs).decode())
         self._adopt(MapValue(epochs), version)
 
-    def _write(self, term: Term, value: MapValue, version: int) -> int:
+    def _write(self, term: LeaderTerm, value: MapValue, version: int) -> int:
         """Put the map in the place of that version; returns its own."""
-        value = msgspec.structs.replace(value, mark=term.mark)
+        value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
-            kv.guard(self._holdings[0].election.key, term.version),
+            kv.guard(self._holdings[0].election.key, term.key_version),
             kv.guard(MAP_KEY, version),
         ]
         put = kv.put(MAP_KEY, msgspec.to_builtins(value))
@@ -209,13 +209,13 @@
     def controllers(self, now: float) -> list[Controller]:
         """Who is there, this node included."""
         name = self.house.settings.name
-        held = sum(holding.leadership.leading for holding in [*self._holdings.values()])
+        held = sum(holding.leadership.is_leader for holding in [*self._holdings.values()])
         found = [Controller(name, held, now - self._began)]
         for sibling in self.house.siblings:
-            at, hello = self._neighbours.said.get(sibling, (float("-inf"), None))
-            if hello is not None and now - at < HEARD_S and hello.shard_map_version:
+            at, hello = self._neighbours.last_status.get(sibling, (float("-inf"), None))
+            if hello is not None and now - at < PEER_STATUS_VALID_S and hello.shard_map_version:
                 count = len(hello.held_shards) + hello.leading
-                since = self._neighbours.since.get(sibling, now)
+                since = self._neighbours.reachable_since.get(sibling, now)
                 found.append(Controller(sibling, count, now - since))
             elif now - self._began < GATHERING_S:
                 found.append(Controller(sibling, 0, 0.0))
@@ -226,10 +226,10 @@
         if self._holdings[0].leadership.may_answer(now):
             return self._move
         best: tuple[int, peers.PeerStatus] | None = None
-        for at, hello in list(self._neighbours.said.values()):
+        for at, hello in list(self._neighbours.last_status.values()):
             if (
                 hello.entitled
-                and now - at < HEARD_S
+                and now - at < PEER_STATUS_VALID_S
                 and (best is None or hello.fencing_token > best[0])
             ):
                 best = (hello.fencing_token, hello)
@@ -251,7 +251,7 @@
                 return 0.0
             ahead = any(each.name == move[1] for each in controllers)
         # Who held it is gone, though what it said of itself is not old yet.
-        former = self._holdings[share].election.former
+        former = self._holdings[share].election.last_holder
         there = [each for each in controllers if each.name == name or each.name != former]
         rank = shard_assigner.heirs(share, there).index(name)
         starting = now - self._began < GATHERING_S
@@ -299,9 +299,11 @@
     def hello(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
         """What this node says of itself, with its shares."""
         shares = [
-            peers.HeldShard(share, holding.leadership.token, holding.leadership.may_answer(now))
+            peers.HeldShard(
+                share, holding.leadership.fencing_token, holding.leadership.may_answer(now)
+            )
             for share, holding in sorted([*self._holdings.items()])
-            if share and holding.leadership.leading
+            if share and holding.leadership.is_leader
         ]
         wanted: list[str] = []
         move = self._move
