--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -36,10 +36,10 @@
         ...
 
 
-class Hears(Protocol):
+class CommandResultListener(Protocol):
     """What is known of which machines hear; see ``fleet/hearing.py``."""
 
-    def told(self, machine: Machine, reached: bool) -> None: ...
+    def command_result(self, machine: Machine, reached: bool) -> None: ...
 
 
 class Term(Protocol):
@@ -64,7 +64,7 @@
     def write(self, some: list[Record], then: Callable[[], None] | None = None) -> None: ...
 
     @property
-    def hearing(self) -> Hears: ...
+    def hearing(self) -> CommandResultListener: ...
 
     def observe(self, machine: Machine, report: Heartbeat) -> None: ...
 
@@ -139,7 +139,7 @@
         """What this share and the others need in all, and without spot machines."""
         ...
 
-    def needs(self, gpus: bool) -> list[Need]:
+    def needs(self, gpus: bool) -> list[CapacityNeed]:
         """Work of other shares that no machine of theirs can ever take."""
         ...
 
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class CapacityNeed:
     """Work that lacks room where there is none for it to come."""
 
     gpus: float
@@ -157,49 +157,49 @@
     memory_gb: float
     tasks: int
     spot: bool
-    kinds: list[bool]
+    eligible_types: list[bool]
     """By type: may it run there?"""
     zones: list[int]
     spread_by: int = 1
     """So many machines must be rented for one to reach the share that needs it."""
 
 
-class Trust(Protocol):
+class ZoneHealth(Protocol):
     """Which zones are to be trusted."""
 
-    def counts(self, zone: int) -> bool: ...
+    def is_trusted(self, zone: int) -> bool: ...
 
 
-class Machines(Protocol):
+class FleetView(Protocol):
     """The fleet, as what looks at it and rents for it sees it."""
 
     core: Term
     cluster: ClusterState
     operator: OperatorSettings
     shortages: list[Shortage]
-    asked: dict[str, tuple[int, int, bool, int]]
+    pending_rentals: dict[str, tuple[int, int, bool, int]]
     arrivals: deque[tuple[float, float, float, bool, float]]
-    groups: set[tuple[int, int]]
-    evicted: dict[tuple[int, int], float]
-    required: dict[bool, deque[tuple[float, float]]]
-    steady_spare: dict[bool, float]
+    spot_groups: set[tuple[int, int]]
+    evicted_markets: dict[tuple[int, int], float]
+    recent_required: dict[bool, deque[tuple[float, float]]]
+    on_demand_spare: dict[bool, float]
     next_summary: float
 
     @property
-    def trust(self) -> Trust: ...
+    def zone_health(self) -> ZoneHealth: ...
 
-    def crowded(self) -> bool: ...
+    def is_crowded(self) -> bool: ...
 
-    def gives(self, kind: int, zone: int, spot: bool) -> bool: ...
+    def accepts_rentals(self, kind: int, zone: int, spot: bool) -> bool: ...
 
-    def exhausted(self, kind: int, zone: int, spot: bool) -> bool: ...
+    def is_exhausted(self, kind: int, zone: int, spot: bool) -> bool: ...
 
-    def available(self, kind: int, zone: int, spot: bool) -> bool: ...
+    def may_rent(self, kind: int, zone: int, spot: bool) -> bool: ...
 
     def rent(self, kind: int, zone: int, spot: bool, count: int) -> None: ...
 
-    def give_up(self, machine: Machine, reason: str) -> None: ...
+    def delete(self, machine: Machine, reason: str) -> None: ...
 
-    def evict(self, machine: Machine) -> None: ...
+    def evict_group(self, machine: Machine) -> None: ...
 
-    def units(self, machine: Machine) -> float: ...
+    def capacity_units(self, machine: Machine) -> float: ...
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -134,7 +134,7 @@
         ):
             self._core.observe(machine, report)
         # As good as an unanswered probe, or an answered one.
-        self._core.hearing.told(machine, outcome != "unknown")
+        self._core.hearing.command_result(machine, outcome != "unknown")
         if outcome != "done":
             machine.avoid_until = max(machine.avoid_until, self._core.now + REORDER_S)
 
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from appleshift.contracts.actions import Inspect, Rent
-from appleshift.contracts.interfaces import Term, Trust
-from appleshift.machines.health import Health
-from appleshift.node_limits.node_limits import Capacity, Pace
+from appleshift.contracts.interfaces import Term, ZoneHealth
+from appleshift.machines.health import MachineHealth
+from appleshift.node_limits.node_limits import NodeLimits, TimeBudget
 from appleshift.placement.first_fit import Shortage
 from appleshift.placement.fit import stop_grace
 from appleshift.protocol import cloud
@@ -17,7 +17,7 @@
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Heartbeat
 from appleshift.provisioning.consolidation import Consolidation
-from appleshift.provisioning.pool import Pool
+from appleshift.provisioning.pool import CapacityPool
 from appleshift.state.cluster_state import BOOTING, UP, Machine
 from appleshift.storage import records
 
@@ -42,62 +42,67 @@
         self.operator = core.operator
         self.started = core.now
         # Of several shares only the leader's rents, for all of them.
-        self.rents = core.sharing is None or core.sharing.number == 0
+        self.is_provisioning = core.sharing is None or core.sharing.number == 0
         self.shortages: list[Shortage] = []
-        self.types_at = 0.0
+        self.types_updated_at = 0.0
         self.requests = 0
         # Rentals under way: request -> what was asked for.
-        self.asked: dict[str, tuple[int, int, bool, int]] = {}
+        self.pending_rentals: dict[str, tuple[int, int, bool, int]] = {}
         # (type, zone, spot) -> when to ask again after a refusal, and the pause.
-        self.refused: dict[tuple[int, int, bool], tuple[float, float]] = {}
+        self.rental_backoffs: dict[tuple[int, int, bool], tuple[float, float]] = {}
         self.next_review = core.now
-        self._reviewing = Pace(core.clock, REVIEW_SHARE)
+        self._reviewing = TimeBudget(core.clock, REVIEW_SHARE)
         self.next_regroup = core.now + self.operator.regroup_s
         # The chosen spot groups, each of one market: (type, zone).
-        self.groups: set[tuple[int, int]] = set()
+        self.spot_groups: set[tuple[int, int]] = set()
         for name in groups if isinstance(groups, list) else []:
             kind, _, zone = str(name).partition("@")
             market = (self.cluster.type_names.get(kind), self.cluster.zones.get(zone))
             if min(market) >= 0:
-                self.groups.add(market)
-        self.evicted: dict[tuple[int, int], float] = {}
-        self._written_groups: list[str] = self.group_table()
-        self._groups_at = 0.0
+                self.spot_groups.add(market)
+        self.evicted_markets: dict[tuple[int, int], float] = {}
+        self._written_spot_groups: list[str] = self.spot_group_names()
+        self._spot_groups_written_at = 0.0
         # What arrived lately of classes with an aim for their wait: time, CPUs,
         # GPUs, whether it may use spot, and the wait that is accepted.
         self.arrivals: deque[tuple[float, float, float, bool, float]] = deque()
         self.list_seen = False
         self.next_summary = core.now
         # By pool (with cards or without): steady capacity that is not needed.
-        self.steady_spare: dict[bool, float] = {}
+        self.on_demand_spare: dict[bool, float] = {}
         # By pool: what was required lately, as (time, capacity).
-        self.required: dict[bool, deque[tuple[float, float]]] = {False: deque(), True: deque()}
+        self.recent_required: dict[bool, deque[tuple[float, float]]] = {
+            False: deque(),
+            True: deque(),
+        }
         # Each machine reports on a connection of its own. One that finds no
         # place is paid for and never heard: three times the fleet once rented
         # 8,677 machines for 1,830 that there could be, gave up those that it
         # did not hear, and rented others in their stead.
-        self.most = Capacity.of(core.settings.deployment.machine_limits).machines
-        self._most_at = core.now
-        self._told_full = 0.0
+        self.max_machines = NodeLimits.from_machine_limits(
+            core.settings.deployment.machine_limits
+        ).machines
+        self._max_machines_at = core.now
+        self._logged_full_at = 0.0
         # Of each type, as long as prices stay.
-        self._units: dict[int, float] = {}
+        self._units_by_type: dict[int, float] = {}
         self.consolidation = Consolidation(self)
-        self.health = Health(self)
+        self.health = MachineHealth(self)
 
     @property
-    def trust(self) -> Trust:
+    def zone_health(self) -> ZoneHealth:
         return self.health
 
     # -- what others tell -------------------------------------------------------
 
-    def types(self, types: list[MachineType]) -> None:
-        self._units.clear()
+    def set_machine_types(self, types: list[MachineType]) -> None:
+        self._units_by_type.clear()
         if self.cluster.set_types(types):
             self.core.write(records.machine_type_records(self.cluster.types))
             self.core.dirty = True
-        self.types_at = self.core.now
+        self.types_updated_at = self.core.now
 
-    def arrived(self, spec: Submission, at: float) -> None:
+    def job_arrived(self, spec: Submission, at: float) -> None:
         within = self.core.aims.wait_s(spec.job_class)
         if within is not None:
             counted = self.cluster.counted_resources
@@ -119,7 +124,7 @@
             machine.idle_since = self.core.now
         return machine
 
-    def heard(self, machine: Machine, report: Heartbeat) -> None:
+    def heartbeat_received(self, machine: Machine, report: Heartbeat) -> None:
         if machine.status == BOOTING or machine.addr != report.addr:
             machine.status = UP
             machine.addr = report.addr
@@ -131,27 +136,27 @@
             if not machine.draining:
                 log.info("machine %s is taken back in %.0f s", machine.name, report.reclaim_in_s)
                 machine.draining = True
-                self.evict(machine)
+                self.evict_group(machine)
             machine.reclaim_at = self.core.now + max(0.0, report.reclaim_in_s)
-            self._save_work(machine)
+            self._checkpoint_before_reclaim(machine)
 
-    def evict(self, machine: Machine) -> None:
+    def evict_group(self, machine: Machine) -> None:
         """One machine taken back evicts its group; the others become orphans."""
         if not machine.spot:
             return
-        if not self.rents and self.core.sharing is not None:
+        if not self.is_provisioning and self.core.sharing is not None:
             # The leader's plan has the groups.
             self.core.sharing.evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
 
     def evict_market(self, market: tuple[int, int]) -> None:
-        self.evicted[market] = self.core.now + self.operator.evict_pause_s
-        if market in self.groups:
-            self.groups.discard(market)
+        self.evicted_markets[market] = self.core.now + self.operator.evict_pause_s
+        if market in self.spot_groups:
+            self.spot_groups.discard(market)
             log.info("group %s evicted", self._market_name(market))
 
-    def _save_work(self, machine: Machine) -> None:
+    def _checkpoint_before_reclaim(self, machine: Machine) -> None:
         """Stop what can save in time, as late as is safe."""
         assert machine.reclaim_at is not None
         left = machine.reclaim_at - self.core.now
@@ -163,20 +168,20 @@
                 else:
                     self.core.stop(run, grace, "notice")
 
-    def give_up(self, machine: Machine, reason: str) -> None:
+    def delete(self, machine: Machine, reason: str) -> None:
         """Delete a machine with whatever is on it; the answer is proof."""
         if machine.deletion_requested:
             return
         log.info("deleting machine %s: %s", machine.name, reason)
         self.core.delete([machine])
 
-    def dropped(self, machine: Machine) -> None:
+    def machine_deleted(self, machine: Machine) -> None:
         if machine.spot and machine.reclaim_at is not None:
-            self.evict(machine)
+            self.evict_group(machine)
 
     # -- the cloud's list -------------------------------------------------------------
 
-    def listed(self, rows: list[ListedMachine], whole: bool) -> None:
+    def machines_listed(self, rows: list[ListedMachine], complete: bool) -> None:
         """Take in a list; it is old, and may be older than the last one.
 
         Only a list of which every row could be read says what is not in it.
@@ -195,7 +200,7 @@
                 if machine is None:
                     continue
                 log.info("machine %s found in the list", row.name)
-                self.mark(machine)
+                self.mark_shard(machine)
                 machine.rented_at = now - row.age_s
                 machine.idle_since = now
                 machine.lease_until = now + self.core.worker_lease_s
@@ -204,11 +209,15 @@
             if machine.listed_at is None:
                 machine.listed_at = now
                 machine.rented_at = min(machine.rented_at, now - row.age_s)
-            if row.state == cloud.FAILED and not machine.deletion_requested and self._ours(machine):
-                self.evict(machine)
-                self.give_up(machine, "failed")
-        for machine in list(self.cluster.machines.values()) if whole else []:
-            if machine.name in names or machine.deletion_requested or not self._ours(machine):
+            if (
+                row.state == cloud.FAILED
+                and not machine.deletion_requested
+                and self._may_delete(machine)
+            ):
+                self.evict_group(machine)
+                self.delete(machine, "failed")
+        for machine in list(self.cluster.machines.values()) if complete else []:
+            if machine.name in names or machine.deletion_requested or not self._may_delete(machine):
                 continue
             heard = machine.last_heard > now - 2 * lag
             old = now - machine.rented_at > 4 * lag + 10.0
@@ -217,10 +226,10 @@
             # Taken by the cloud, or never really there; deleting a name that
             # is unknown is harmless, and the answer is the proof we need.
             if machine.listed_at is None or now - machine.listed_at > 3 * lag:
-                self.evict(machine)
-                self.give_up(machine, "no longer listed")
+                self.evict_group(machine)
+                self.delete(machine, "no longer listed")
 
-    def mark(self, machine: Machine) -> None:
+    def mark_shard(self, machine: Machine) -> None:
         """Is it for another share?"""
         sharing = self.core.sharing
         if sharing is not None:
@@ -229,24 +238,24 @@
             machine.in_other_shard = given or not sharing.owns(machine.name, kind)
 
     @staticmethod
-    def _ours(machine: Machine) -> bool:
+    def _may_delete(machine: Machine) -> bool:
         """May this core give it up? Once up, only the holder of its share may."""
         return not machine.in_other_shard or machine.status == BOOTING
 
     # -- renting ------------------------------------------------------------------------
 
-    def rented(self, request: str, names: list[str] | None, refused: bool) -> None:
+    def rental_answered(self, request: str, names: list[str] | None, refused: bool) -> None:
         """The answer to a rental; None: no answer, so machines may still appear."""
-        asked = self.asked.pop(request, None)
+        asked = self.pending_rentals.pop(request, None)
         if asked is None:
             return
         kind, zone, spot, count = asked
         if refused or (names is not None and len(names) < count):
-            _, pause = self.refused.get((kind, zone, spot), (0.0, 0.0))
+            _, pause = self.rental_backoffs.get((kind, zone, spot), (0.0, 0.0))
             pause = min(60.0, max(self.operator.refusal_backoff_s, pause * 1.5))
-            self.refused[(kind, zone, spot)] = (self.core.now + pause, pause)
+            self.rental_backoffs[(kind, zone, spot)] = (self.core.now + pause, pause)
         elif names:
-            self.refused.pop((kind, zone, spot), None)
+            self.rental_backoffs.pop((kind, zone, spot), None)
         type_name, zone_name = self.cluster.type_names.names[kind], self.cluster.zones.names[zone]
         log.info(
             "rented %s of %d %s in %s%s",
@@ -260,32 +269,32 @@
             machine = self.cluster.add_machine(name, type_name, zone_name, spot)
             if machine is not None and machine.rented_at == 0.0:
                 machine.rented_at = self.core.now
-                self.mark(machine)
+                self.mark_shard(machine)
         self.next_review = min(self.next_review, self.core.now)
 
-    def gives(self, kind: int, zone: int, spot: bool) -> bool:
+    def accepts_rentals(self, kind: int, zone: int, spot: bool) -> bool:
         """This market has not refused lately, and what it gives could be heard."""
-        if zone in self.health.dark:
-            asked = any(entry[1] == zone for entry in self.asked.values())
-            if asked or not self.health.may_try(zone):
+        if zone in self.health.unreachable_zones:
+            asked = any(entry[1] == zone for entry in self.pending_rentals.values())
+            if asked or not self.health.may_try_unreachable(zone):
                 return False
-        return self.refused.get((kind, zone, spot), (0.0, 0.0))[0] <= self.core.now
+        return self.rental_backoffs.get((kind, zone, spot), (0.0, 0.0))[0] <= self.core.now
 
-    def exhausted(self, kind: int, zone: int, spot: bool) -> bool:
+    def is_exhausted(self, kind: int, zone: int, spot: bool) -> bool:
         """Asked last, this market had less than was wanted."""
-        return (kind, zone, spot) in self.refused
+        return (kind, zone, spot) in self.rental_backoffs
 
-    def available(self, kind: int, zone: int, spot: bool) -> bool:
+    def may_rent(self, kind: int, zone: int, spot: bool) -> bool:
         """Worth asking now: not refused lately, and no answer still to come.
 
         The cloud takes few calls a second. Asking again before the answer is
         there once queued ten rentals of one market that had nothing left.
         """
         market = (kind, zone, spot)
-        if not self.room():
+        if not self.rentable_machines():
             return False
-        asked = any(entry[:3] == market for entry in self.asked.values())
-        return self.gives(*market) and not asked
+        asked = any(entry[:3] == market for entry in self.pending_rentals.values())
+        return self.accepts_rentals(*market) and not asked
 
     def tick(self, now: float) -> None:
         self.health.check(now)
@@ -299,26 +308,26 @@
             elif machine.in_other_shard:
                 continue
             elif machine.quarantined and machine.empty():
-                self.give_up(machine, "sick and empty")
+                self.delete(machine, "sick and empty")
             elif machine.reclaim_at is not None:
-                self._save_work(machine)
+                self._checkpoint_before_reclaim(machine)
         if not self.cluster.types or not self.core.authority.may_write(now):
             return
         self.consolidation.step(now)
-        if not self.rents:
+        if not self.is_provisioning:
             return
         if now >= self.next_review and self._reviewing.due():
             self.next_review = now + (REVIEW_GAP_S if self.shortages else self.operator.review_s)
             with self._reviewing:
-                self._review(now)
-            self._write_groups(now)
+                self._review_plan(now)
+            self._write_spot_groups(now)
 
     def _check_boot(self, machine: Machine, now: float) -> None:
         """Give up a boot that is late, but not one that may be up and unheard."""
         boot_s = self.cluster.types[machine.type].boot_s
         if now - machine.rented_at <= boot_s * self.operator.boot_patience + 5.0:
             return
-        if machine.zone in self.health.dark:
+        if machine.zone in self.health.unreachable_zones:
             return
         if machine.listed_addr and machine.unanswered_probes < BOOT_PROBES:
             # Its reports may find no place: ask it. An answer says that it is up.
@@ -326,34 +335,36 @@
                 machine.probe_in_flight = True
                 self.core.effects.append(Inspect(machine.name, machine.listed_addr))
             return
-        self.give_up(machine, "did not come up")
+        self.delete(machine, "did not come up")
 
     def _market_name(self, market: tuple[int, int]) -> str:
         return f"{self.cluster.type_names.names[market[0]]}@{self.cluster.zones.names[market[1]]}"
 
-    def group_table(self) -> list[str]:
-        return sorted(self._market_name(market) for market in self.groups)
+    def spot_group_names(self) -> list[str]:
+        return sorted(self._market_name(market) for market in self.spot_groups)
 
-    def units(self, machine: Machine) -> float:
+    def capacity_units(self, machine: Machine) -> float:
         """A machine's capacity in steady machines of its pool.
 
         Asked for each of many machines at a time: a pool looks at all of them, and
         making one for each was most of a look at 1,800 machines.
         """
-        units = self._units.get(machine.type)
+        units = self._units_by_type.get(machine.type)
         if units is None:
             kind = self.cluster.types[machine.type]
-            units = self._units[machine.type] = Pool(self, kind.gpus > 0).units(kind)
+            units = self._units_by_type[machine.type] = CapacityPool(self, kind.gpus > 0).units(
+                kind
+            )
         return units
 
-    def _write_groups(self, now: float) -> None:
-        table = self.group_table()
-        if table != self._written_groups and now - self._groups_at >= 1.0:
-            self._written_groups = table
-            self._groups_at = now
+    def _write_spot_groups(self, now: float) -> None:
+        table = self.spot_group_names()
+        if table != self._written_spot_groups and now - self._spot_groups_written_at >= 1.0:
+            self._written_spot_groups = table
+            self._spot_groups_written_at = now
             self.core.journal.append([records.SPOT_GROUPS, table])
 
-    def _review(self, now: float) -> None:
+    def _review_plan(self, now: float) -> None:
         if not self.list_seen and now - self.started < 5.0:
             # A new leader looks at what there is before it rents.
             self.next_review = now + 0.5
@@ -362,44 +373,44 @@
             self.arrivals.popleft()
         if now >= self.next_regroup:
             self.next_regroup = now + self.operator.regroup_s
-            self._regroup()
+            self._choose_spot_groups()
         for gpu_pool in (False, True):
-            Pool(self, gpu_pool).review(now)
+            CapacityPool(self, gpu_pool).review(now)
         if now >= self.next_summary:
             self.next_summary = now + SUMMARY_S
 
-    def _regroup(self) -> None:
+    def _choose_spot_groups(self) -> None:
         """At long intervals groups are chosen anew, so that dear ones drop out."""
-        self.groups.clear()
+        self.spot_groups.clear()
 
-    def hear(self, machines: int) -> None:
+    def set_max_machines(self, machines: int) -> None:
         """So many machines the nodes together can hear. One that is missing for a
         moment, as after each takeover, changes nothing yet."""
         now = self.core.now
-        if machines >= self.most:
-            self.most, self._most_at = machines, now
-        elif now - self._most_at > SETTLED_S:
-            self.most = machines
+        if machines >= self.max_machines:
+            self.max_machines, self._max_machines_at = machines, now
+        elif now - self._max_machines_at > SETTLED_S:
+            self.max_machines = machines
 
-    def room(self) -> int:
+    def rentable_machines(self) -> int:
         """How many more machines could be heard, those under way counted."""
-        under_way = sum(count for _, _, _, count in self.asked.values())
-        return max(0, self.most - len(self.cluster.machines) - under_way)
+        under_way = sum(count for _, _, _, count in self.pending_rentals.values())
+        return max(0, self.max_machines - len(self.cluster.machines) - under_way)
 
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Are there so many machines that their number counts for more than their price?"""
-        return self.room() * 2 < self.most
+        return self.rentable_machines() * 2 < self.max_machines
 
     def rent(self, kind: int, zone: int, spot: bool, count: int) -> None:
         count = min(count, cloud.MAX_RENT)
-        if count > self.room() and self.core.now - self._told_full >= SUMMARY_S:
-            self._told_full = self.core.now
+        if count > self.rentable_machines() and self.core.now - self._logged_full_at >= SUMMARY_S:
+            self._logged_full_at = self.core.now
             log.warning(
                 "%d machines are as many as the nodes can hear: nothing beyond is rented",
-                self.most,
+                self.max_machines,
             )
-        count = min(count, self.room())
-        if zone in self.health.dark:
+        count = min(count, self.rentable_machines())
+        if zone in self.health.unreachable_zones:
             # One shows whether the zone is back as well as a hundred do.
             count = min(count, 1)
         if count <= 0:
@@ -407,7 +418,7 @@
         self.requests += 1
         # The token makes the name unique among leaders, the number within one.
         request = f"r-{self.core.token}-{self.requests}"
-        self.asked[request] = (kind, zone, spot, count)
+        self.pending_rentals[request] = (kind, zone, spot, count)
         names = self.cluster.type_names.names
         self.core.effects.append(
             Rent(request, names[kind], self.cluster.zones.names[zone], spot, count)
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -11,7 +11,7 @@
 import logging
 
 from appleshift.contracts.actions import Inspect
-from appleshift.contracts.interfaces import Machines
+from appleshift.contracts.interfaces import FleetView
 from appleshift.placement.fit import zone_room
 from appleshift.state.cluster_state import EXITED, UP, Job, Machine
 
@@ -25,37 +25,37 @@
 SLOW_TASKS = 6
 SLOW_WEIGHT = 0.2
 SLOW_RATIO = 2.0
-DARK_LEAST = 3
+MIN_MACHINES_FOR_UNREACHABLE = 3
 """So few machines of a zone may well fall silent by themselves."""
-DARK_MUTE = 8
+UNREACHABLE_SILENT_SHARE = 8
 """So many unanswered probes are evidence enough about a silent zone."""
 NEW_LEADER_S = 2.0
 MAX_INSPECTIONS = 40
 """So many machines are asked in one look at the fleet."""
-SURE_S = 1.0
-GONE_S = 5.0
-DARK_PROBES = 4
+CONFIRMED_SILENT_S = 1.0
+CONFIRMED_LOST_S = 5.0
+UNREACHABLE_PROBES = 4
 """Machines of a dark zone that are asked directly whether it is back."""
-DARK_PATIENCE_S = 180.0
+UNREACHABLE_PATIENCE_S = 180.0
 """Longer than this, machines that cannot be heard are not paid for, and a zone
 of which nothing is left to be heard is tried again."""
 
-TRY_S = 10.0
+UNREACHABLE_RETRY_S = 10.0
 """After so long a zone that is cut off, and of which nothing is left, is tried."""
 
 
-class Health:
+class MachineHealth:
     """Part of the fleet: looks at every machine a few times a second."""
 
-    def __init__(self, fleet: Machines) -> None:
+    def __init__(self, fleet: FleetView) -> None:
         self._fleet = fleet
         self._core = fleet.core
         self._cluster = fleet.cluster
         self._started = fleet.core.now
         # Zones that are cut off, and since when.
-        self.dark: dict[int, float] = {}
+        self.unreachable_zones: dict[int, float] = {}
         # Since when zones that were cut off are back.
-        self._back: dict[int, float] = {}
+        self._reachable_again_at: dict[int, float] = {}
 
     def check(self, now: float) -> None:
         report_s = self._core.settings.deployment.workers.report_s
@@ -76,19 +76,19 @@
                 # Nearly all of them, several times a second.
                 continue
             known = machine.last_heard >= self._started
-            if self._quiet_s(machine, now) > (probe_s if known else new_s):
+            if self._silent_for_s(machine, now) > (probe_s if known else new_s):
                 silent.setdefault(machine.zone, []).append(machine)
         # Silence alone is no evidence: after a takeover workers take a while to
         # find the leader, but they answer when asked.
         quiet_zones = set()
         suspect = set()
         for zone, machines in silent.items():
-            if len(machines) >= DARK_LEAST and len(machines) * 2 > up[zone]:
+            if len(machines) >= MIN_MACHINES_FOR_UNREACHABLE and len(machines) * 2 > up[zone]:
                 suspect.add(zone)
             mute = sum(1 for machine in machines if machine.unanswered_probes > 0)
-            least = 1 if zone in self.dark else DARK_LEAST
+            least = 1 if zone in self.unreachable_zones else MIN_MACHINES_FOR_UNREACHABLE
             # Probing all of a large zone would take seconds: some are enough.
-            asked = min(DARK_MUTE, len(machines) // 2 + 1)
+            asked = min(UNREACHABLE_SILENT_SHARE, len(machines) // 2 + 1)
             if len(machines) * 2 > up[zone] and mute >= max(least, asked):
                 quiet_zones.add(zone)
         # Nobody answers anywhere: it is ourselves. One zone alone proves nothing.
@@ -97,81 +97,87 @@
         # most of its machines are heard. Once 124 were rented too early.
         unheard = {
             zone
-            for zone, since in self.dark.items()
-            if zone not in up and now - since <= DARK_PATIENCE_S
+            for zone, since in self.unreachable_zones.items()
+            if zone not in up and now - since <= UNREACHABLE_PATIENCE_S
         }
-        self._mark_dark(set() if ourselves else quiet_zones | unheard, now, not ourselves)
+        self._mark_unreachable(set() if ourselves else quiet_zones | unheard, now, not ourselves)
         for zone, machines in silent.items():
-            probes = DARK_PROBES if zone in self.dark else len(machines)
+            probes = UNREACHABLE_PROBES if zone in self.unreachable_zones else len(machines)
             for machine in machines:
-                quiet = self._quiet_s(machine, now)
+                quiet = self._silent_for_s(machine, now)
                 # Zones fall silent one after the other even if it is ourselves.
-                sure = zone not in suspect or now - self.dark.get(zone, now) > SURE_S
+                sure = (
+                    zone not in suspect
+                    or now - self.unreachable_zones.get(zone, now) > CONFIRMED_SILENT_S
+                )
                 if sure and not ourselves and self._is_lost(machine, quiet, silent_s, now):
-                    self._fleet.evict(machine)
-                    self._fleet.give_up(machine, f"silent for {quiet:.1f} s")
+                    self._fleet.evict_group(machine)
+                    self._fleet.delete(machine, f"silent for {quiet:.1f} s")
                 elif (
                     machine.addr
                     and not machine.probe_in_flight
                     and inspections > 0
-                    and (probes > 0 or serves(machine))
+                    and (probes > 0 or runs_replicas(machine))
                 ):
                     probes -= 1
                     inspections -= 1
                     machine.probe_in_flight = True
                     self._core.effects.append(Inspect(machine.name, machine.addr))
 
-    def _quiet_s(self, machine: Machine, now: float) -> float:
+    def _silent_for_s(self, machine: Machine, now: float) -> float:
         """For how long a machine could have been heard, or shown that it hears, and did not."""
         sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
-        since = max(sign, self._started, self._back.get(machine.zone, 0.0))
+        since = max(sign, self._started, self._reachable_again_at.get(machine.zone, 0.0))
         return now - since
 
-    def counts(self, zone: int) -> bool:
+    def is_trusted(self, zone: int) -> bool:
         """Is a zone's capacity there? A zone may seem dark for a moment after a
         takeover; what it holds is not rented anew for that."""
-        return self._core.now - self.dark.get(zone, self._core.now) <= GONE_S
+        return self._core.now - self.unreachable_zones.get(zone, self._core.now) <= CONFIRMED_LOST_S
 
-    def may_try(self, zone: int) -> bool:
+    def may_try_unreachable(self, zone: int) -> bool:
         """May a single machine be rented in a zone that is cut off, to find out?
 
         If all that was heard of a zone was deleted or has died, nothing can ever be heard of
         it again. Jobs that are bound to it once waited three minutes for that reason alone.
         """
-        since = self.dark.get(zone)
-        if since is None or self._core.now - since < TRY_S:
+        since = self.unreachable_zones.get(zone)
+        if since is None or self._core.now - since < UNREACHABLE_RETRY_S:
             return False
         machines = self._cluster.machines.values()
         return not any(each.zone == zone and not each.deletion_requested for each in machines)
 
-    def _mark_dark(self, zones: set[int], now: float, heard: bool) -> None:
-        for zone in zones - self.dark.keys():
+    def _mark_unreachable(self, zones: set[int], now: float, heard: bool) -> None:
+        for zone in zones - self.unreachable_zones.keys():
             log.info("zone %s is cut off", self._cluster.zones.names[zone])
-            self.dark[zone] = now
-        for zone in self.dark.keys() - zones:
+            self.unreachable_zones[zone] = now
+        for zone in self.unreachable_zones.keys() - zones:
             log.info("zone %s is back", self._cluster.zones.names[zone])
-            del self.dark[zone]
+            del self.unreachable_zones[zone]
             self._core.dirty = True
             # Most of it is heard; the rest gets its time to be, as after a
             # takeover. Once 41 machines were deleted in the second in which a
             # zone came back, for what they had not answered while it was dark.
             if not heard:
                 continue
-            self._back[zone] = now
+            self._reachable_again_at[zone] = now
             for machine in self._cluster.machines.values():
                 if machine.zone == zone:
                     machine.unanswered_probes = 0
 
     def _is_lost(self, machine: Machine, quiet: float, silent_s: float, now: float) -> bool:
         """Is its deletion, which proves its tasks gone, better than waiting?"""
-        if machine.zone in self.dark and not serves(machine):
+        if machine.zone in self.unreachable_zones and not runs_replicas(machine):
             # Its tasks are free when its lease is over, and the machine is
             # there, images and all, once the zone is back.
-            return now - self.dark[machine.zone] > DARK_PATIENCE_S and machine.empty()
+            return (
+                now - self.unreachable_zones[machine.zone] > UNREACHABLE_PATIENCE_S
+                and machine.empty()
+            )
         # After a takeover workers take a while to find the new leader; a
         # probe does not depend on that, so one more of them will do.
         probes = 2 if machine.last_heard >= self._started else 3
-        if machine.zone in self.dark:
+        if machine.zone in self.unreachable_zones:
             # Its whole zone is as silent as it is.
             return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
         if quiet > silent_s and machine.unanswered_probes >= probes:
@@ -204,7 +210,7 @@
         room = sum(
             max(0, left)
             for other, left in rooms.items()
-            if other != zone and other not in self.dark
+            if other != zone and other not in self.unreachable_zones
         )
         return min(1.0, room / max(1, here))
 
@@ -212,7 +218,7 @@
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
-            self._core.hearing.told(machine, answered)
+            self._core.hearing.command_result(machine, answered)
 
     def task_failed(self, machine: Machine, job: Job) -> None:
         """Tell a faulty machine from a faulty job by who else failed where."""
@@ -249,6 +255,6 @@
         job.completed_runs += 1
 
 
-def serves(machine: Machine) -> bool:
+def runs_replicas(machine: Machine) -> bool:
     """Replicas on it are missed from the first second on."""
     return any(run.job.service and run.state != EXITED for run in machine.runs.values())
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -26,15 +26,15 @@
 from appleshift.state.cluster_state import UP, Machine
 
 
-class Hearing:
+class MachineLiveness:
     """Part of the fleet; owned by the core's routine."""
 
     def __init__(self, core: Term) -> None:
         self._core = core
         self._started = core.now
-        self._mute_s = core.settings.deployment.workers.lease_s / 2
+        self._heartbeats_lost_after_s = core.settings.deployment.workers.lease_s / 2
 
-    def reported(self, machine: Machine, report: Heartbeat) -> bool:
+    def is_new_heartbeat(self, machine: Machine, report: Heartbeat) -> bool:
         """A report came; true if no copy of it, nor a newer one, was there before."""
         # With its session: an answer to a question may have told of a new one before, in
         # which numbers begin anew. What was renewed there once counted as copies.
@@ -47,7 +47,7 @@
         else:
             # Those that a leader before us knew heard it. A new one shows it first.
             hears = machine.status == UP
-        self._beat(machine, now, hears)
+        self._record_heartbeat(machine, now, hears)
         machine.last_heartbeat = number
         machine.heartbeats_lost = False
         if not hears and report.addr and not machine.probe_in_flight:
@@ -56,7 +56,7 @@
         return True
 
     @staticmethod
-    def _beat(machine: Machine, at: float, hears: bool) -> None:
+    def _record_heartbeat(machine: Machine, at: float, hears: bool) -> None:
         machine.last_heartbeat_at = at
         if hears:
             machine.commands_lost_since = machine.heartbeats_since_unreachable = (
@@ -68,7 +68,7 @@
             # What it did not answer while nothing came from it says nothing of now.
             machine.commands_lost_since, machine.unanswered_probes = at, 0
 
-    def caught_up(self, machine: Machine) -> None:
+    def apply_fast_path(self, machine: Machine) -> None:
         """Take in what reports that said nothing new have left."""
         cell = machine.fast_path_entry
         if cell is not None:
@@ -78,17 +78,18 @@
             # renewed here were taken for over, and eight tasks ran twice on one day.
             machine.lease_until = max(machine.lease_until, at + self._core.worker_lease_s)
             if at > machine.last_heartbeat_at:
-                self._beat(machine, at, hears)
+                self._record_heartbeat(machine, at, hears)
                 machine.last_heard = max(machine.last_heard, at)
             if session == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
             machine.last_heartbeat = max(machine.last_heartbeat, (session, seq))
         # One whose reports are lost may answer, but its lease will be over.
         machine.heartbeats_lost = (
-            self._core.now - max(machine.last_heartbeat_at, self._started) > self._mute_s
+            self._core.now - max(machine.last_heartbeat_at, self._started)
+            > self._heartbeats_lost_after_s
         )
 
-    def told(self, machine: Machine, reached: bool) -> None:
+    def command_result(self, machine: Machine, reached: bool) -> None:
         """A direct command or question was answered, or was not."""
         if reached:
             machine.commands_lost_since = machine.heartbeats_since_unreachable = (
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -20,7 +20,7 @@
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.peer_monitor import PeerMonitor
-from appleshift.node_limits.node_limits import Capacity, Load
+from appleshift.node_limits.node_limits import LoadMonitor, NodeLimits
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
@@ -71,7 +71,9 @@
         self.store = KeyValueStore(
             connect(split_address(settings.external.state)), deployment.state.rps * share, routines
         )
-        self._capacity = capacity = Capacity.of(deployment.machine_limits, operator.shares > 1)
+        self._capacity = capacity = NodeLimits.from_machine_limits(
+            deployment.machine_limits, operator.shares > 1
+        )
         self.workers = WorkerCalls(
             self._post, connect, routines, size=capacity.calls, most=capacity.clients
         )
@@ -113,7 +115,7 @@
             self.holdings,
             siblings,
             self._post,
-            lambda: self._events.qsize() / capacity.queued,
+            lambda: self._events.qsize() / capacity.max_queued,
             self.workers.reaches,
             routines,
             self.store,
@@ -123,7 +125,7 @@
             lambda: self._connections() > CROWDED * capacity.connections,
             self.reach.heartbeat_received,
         )
-        self._load = Load(deployment.machine_limits, capacity, routines.now())
+        self._load = LoadMonitor(deployment.machine_limits, capacity, routines.now())
         self._listeners: list[Listener] = []
         self._next_spread = self._next_sample = self._relayed_at = 0.0
         if operator.shares > 1:
@@ -286,11 +288,11 @@
             if core.sharing is None:
                 self._spread(core, self.routines.now())
             self._sample(core, self.routines.now())
-        self._load.worked(began, self.routines.now(), handled, self._connections())
+        self._load.round_finished(began, self.routines.now(), handled, self._connections())
         if handled:
             # What comes meanwhile is handled at once in the next round: to wake
             # for each event alone costs more than most events do.
-            self.routines.sleep(self._capacity.rest_s)
+            self.routines.sleep(self._capacity.round_pause_s)
 
     def _connections(self) -> int:
         return self._listeners[-1].connections() if self._listeners else 0
@@ -330,7 +332,7 @@
         elif self.operator.spread_reports and now - self._relayed_at < RELAYS_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        core.fleet.hear(relay_assignment.audible(places, relays))
+        core.fleet.set_max_machines(relay_assignment.audible(places, relays))
         share = relay_assignment.share(
             len(core.cluster.machines), places, relays, self.election.relayed_fraction
         )
--- a/appleshift/node_limits/node_limits.py
+++ b/appleshift/node_limits/node_limits.py
@@ -21,13 +21,13 @@
 EVENTS_A_CORE_S = 2000
 """Requests that a whole core answers in a second: 0.5 ms each, measured on
 loopback with workers' reports."""
-QUEUE_S = 2.0
+MAX_QUEUE_S = 2.0
 """Nobody is put in a queue that takes longer than this: users wait 5 s for an
 answer and workers 4 s, and are better off with a prompt refusal."""
-REST_S = 0.004
+ROUND_PAUSE_S = 0.004
 """Pause of the core between two rounds, on a whole core. A round costs two switches of
 routines whatever it does; users accept answers within some hundred milliseconds."""
-MOST_REST_S = 0.02
+MAX_ROUND_PAUSE_S = 0.02
 CONNECTION_MB = 0.1
 """Stack and buffers of a connection's routine; measured: half of this."""
 CONNECTIONS_SHARE = 0.5
@@ -40,13 +40,13 @@
 """Each has a routine of its own, and a process may have 2,000 threads."""
 MACHINES_SHARE = 0.9
 """Of the connections; users, a few to each node, get the rest."""
-LOAD_GAP_S = 30.0
-SHORT = 0.85
+LOG_INTERVAL_S = 30.0
+OVERLOAD_SHARE = 0.85
 """Of its time or memory; above it, a node says that it is short."""
 
 
 @dataclass(frozen=True, slots=True)
-class Capacity:
+class NodeLimits:
     """Bounds of one node."""
 
     connections: int
@@ -59,13 +59,13 @@
     """Direct commands and probes under way at once."""
     clients: int
     """Workers to which connections are kept."""
-    queued: int
+    max_queued: int
     """Events that may wait for the core before users are refused."""
-    rest_s: float
+    round_pause_s: float
     """What arrives within this is handled in one round of the core."""
 
     @classmethod
-    def of(cls, limits: MachineLimits, shared: bool = False) -> Capacity:
+    def from_machine_limits(cls, limits: MachineLimits, shared: bool = False) -> NodeLimits:
         """``shared``: the machines are divided among the nodes, so that this one
         commands only those that it hears and needs fewer connections of its own."""
         by_memory = limits.memory_mb * CONNECTIONS_SHARE / CONNECTION_MB
@@ -78,12 +78,12 @@
             peers=max(8, min(MOST_PEERS, int(sockets * 0.06))),
             calls=max(4, min(24, connections // 8)),
             clients=max(8, int(sockets * (0.15 if shared else 0.3))),
-            queued=max(64, int(QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
-            rest_s=min(MOST_REST_S, REST_S / limits.core_share),
+            queued=max(64, int(MAX_QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
+            rest_s=min(MAX_ROUND_PAUSE_S, ROUND_PAUSE_S / limits.core_share),
         )
 
 
-class Pace:
+class TimeBudget:
     """Keeps a duty to a share of the time that passes.
 
     Time is measured as it passes for everybody: if the processor is short, a
@@ -107,7 +107,7 @@
         self._next = now + (now - self._began) * self._pause
 
 
-class Load:
+class LoadMonitor:
     """Says in the log, twice a minute at most, whether a node is short of something.
 
     How busy a node is, is measured as the time that its core is at work: on a
@@ -115,32 +115,32 @@
     the system counts says little if the share is enforced from outside.)
     """
 
-    def __init__(self, limits: MachineLimits, capacity: Capacity, now: float) -> None:
+    def __init__(self, limits: MachineLimits, capacity: NodeLimits, now: float) -> None:
         self._limits = limits
         self._capacity = capacity
         self._at = now
         self._busy_s = 0.0
         self._most_queued = 0
 
-    def worked(self, began: float, now: float, handled: int, connections: int) -> None:
+    def round_finished(self, began: float, now: float, handled: int, connections: int) -> None:
         """One round of the core is over."""
         self._busy_s += now - began
         self._most_queued = max(self._most_queued, handled)
-        if now - self._at < LOAD_GAP_S:
+        if now - self._at < LOG_INTERVAL_S:
             return
         memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
-        self.say(self._busy_s / (now - self._at), memory, connections)
+        self.log_load(self._busy_s / (now - self._at), memory, connections)
         self._at, self._busy_s, self._most_queued = now, 0.0, 0
 
-    def say(self, busy: float, memory_mb: float, connections: int) -> None:
+    def log_load(self, busy: float, memory_mb: float, connections: int) -> None:
         limits, most = self._limits, self._capacity
         log.info(
             "load: at work %.0f %% of the time, %.0f of %.0f MB, %d of %d connections,"
             " at most %d of %d requests at once, %d threads",
             *(busy * 100, memory_mb, limits.memory_mb, connections, most.connections),
-            *(self._most_queued, most.queued, threading.active_count()),
+            *(self._most_queued, most.max_queued, threading.active_count()),
         )
-        if busy > SHORT or self._most_queued > most.queued:
+        if busy > OVERLOAD_SHARE or self._most_queued > most.max_queued:
             log.warning("short of processor: answers and placement come late")
-        if memory_mb > SHORT * limits.memory_mb:
+        if memory_mb > OVERLOAD_SHARE * limits.memory_mb:
             log.warning("short of memory: close to being ended for it")
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -10,7 +10,7 @@
 
 import logging
 
-from appleshift.contracts.interfaces import Machines
+from appleshift.contracts.interfaces import FleetView
 from appleshift.placement.fit import zone_room
 from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, TaskRun
 
@@ -19,32 +19,32 @@
 SETTLED_S = 40.0
 """Neither a new leader nor a replica that just started is disturbed."""
 MOVES_AT_ONCE = 2
-MOST_USED = 0.6
+MAX_UTILIZATION = 0.6
 """A machine used more than this is not worth moving."""
 
 
 class Consolidation:
     """At most one machine is being emptied."""
 
-    def __init__(self, fleet: Machines) -> None:
+    def __init__(self, fleet: FleetView) -> None:
         self.fleet = fleet
         self.cluster = fleet.cluster
         self.started = fleet.core.now
-        self.leaving: Machine | None = None
+        self.draining_machine: Machine | None = None
         self.next_look = fleet.core.now
 
     def step(self, now: float) -> None:
-        machine = self.leaving
+        machine = self.draining_machine
         if machine is not None:
             if machine.deletion_requested or machine.status != UP:
-                self.leaving = None
+                self.draining_machine = None
             elif self.fleet.shortages:
                 log.info("machine %s is needed after all", machine.name)
                 machine.cordoned = False
-                self.leaving = None
+                self.draining_machine = None
             elif machine.empty():
-                self.leaving = None
-                self.fleet.give_up(machine, "its work fits elsewhere")
+                self.draining_machine = None
+                self.fleet.delete(machine, "its work fits elsewhere")
             else:
                 self._move(machine, now)
         elif now >= self.next_look:
@@ -53,16 +53,16 @@
 
     def _choose(self, now: float) -> None:
         fleet = self.fleet
-        if fleet.shortages or fleet.asked or now - self.started < SETTLED_S:
+        if fleet.shortages or fleet.pending_rentals or now - self.started < SETTLED_S:
             return
-        spare = fleet.steady_spare.get(False, 0.0)
+        spare = fleet.on_demand_spare.get(False, 0.0)
         best: tuple[float, Machine] | None = None
         for machine in self.cluster.machines.values():
             kind = self.cluster.types[machine.type]
             used = 1.0 - machine.free_cpus / kind.cpus if kind.cpus else 1.0
-            if machine.spot or kind.gpus > 0 or not machine.schedulable() or used > MOST_USED:
+            if machine.spot or kind.gpus > 0 or not machine.schedulable() or used > MAX_UTILIZATION:
                 continue
-            if fleet.units(machine) * self.fleet.operator.consolidate_spare > spare:
+            if fleet.capacity_units(machine) * self.fleet.operator.consolidate_spare > spare:
                 continue
             if machine.empty():
                 continue
@@ -72,10 +72,10 @@
                 if self._room_elsewhere(machine, replicas, now):
                     best = (saving, machine)
         if best is not None:
-            self.leaving = best[1]
-            self.leaving.cordoned = True
-            fleet.steady_spare[False] = 0.0
-            log.info("emptying machine %s", self.leaving.name)
+            self.draining_machine = best[1]
+            self.draining_machine.cordoned = True
+            fleet.on_demand_spare[False] = 0.0
+            log.info("emptying machine %s", self.draining_machine.name)
 
     def _room_elsewhere(self, leaving: Machine, replicas: list[TaskRun], now: float) -> bool:
         """Would every replica find a machine with its image?"""
--- a/appleshift/provisioning/planner.py
+++ b/appleshift/provisioning/planner.py
@@ -15,21 +15,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Market:
+class SpotMarket:
     """A type in a zone; ``units``: one machine in steady machines."""
 
     kind: int
     zone: int
     units: float
     price: float
-    most: float = math.inf
+    max_machines: float = math.inf
     """Machines that it is known to give."""
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    steady: int
-    groups: tuple[tuple[Market, int], ...]
+class CapacityPlan:
+    on_demand: int
+    groups: tuple[tuple[SpotMarket, int], ...]
     """Each group's market and its machines."""
     cost: float
 
@@ -57,20 +57,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mixes:
+class GroupMixes:
     """All that plans for a required capacity are made of."""
 
     required: float
     steady_price: float
-    current: list[Market]
+    current: list[SpotMarket]
     """Groups there are, which stay."""
-    others: list[Market]
+    others: list[SpotMarket]
     spare: int
 
     def quota(self, steady: int, count: int) -> float:
         return max(0.0, self.required - steady) / (count - self.spare)
 
-    def mix(self, steady: int, count: int) -> Plan | None:
+    def mix(self, steady: int, count: int) -> CapacityPlan | None:
         """A given number of steady machines and of groups, if so many are eligible."""
         required, price = self.required, self.steady_price
         quota = self.quota(steady, count)
@@ -86,13 +86,13 @@
         groups = []
         missing, cost = required - steady, steady * price
         for market in [*self.current, *(entry[3] for entry in eligible[:wanted])]:
-            machines = int(min(machines_for(quota, market.units), market.most))
+            machines = int(min(machines_for(quota, market.units), market.max_machines))
             if machines:
                 groups.append((market, machines))
             missing -= machines * market.units
             cost += machines * market.price
         extra = machines_for(missing, 1.0)
-        return Plan(steady + extra, tuple(groups), cost + extra * price)
+        return CapacityPlan(steady + extra, tuple(groups), cost + extra * price)
 
     def same_until(self, steady: int, count: int) -> int:
         """The next number of steady machines at which a mix of so many groups changes.
@@ -105,9 +105,9 @@
         changes = []
         for market in (*self.current, *self.others):
             machines = machines_for(quota, market.units)
-            if market in self.current and machines > market.most:
+            if market in self.current and machines > market.max_machines:
                 # It holds what its market gives, until the quota is below that.
-                machines = int(market.most) + 1
+                machines = int(market.max_machines) + 1
             if machines:
                 left = (machines - 1) * market.units * (count - self.spare)
                 changes.append(self.required - left)
@@ -121,7 +121,9 @@
         return max(steady + 1, math.ceil(min(changes, default=every + 1) - 1e-6))
 
 
-def least_cost(required: float, steady: int, steady_price: float, markets: list[Market]) -> float:
+def least_cost(
+    required: float, steady: int, steady_price: float, markets: list[SpotMarket]
+) -> float:
     """What no plan with that many steady machines can undercut.
 
     Machines are not divisible and groups hold spares, so a real plan costs at
@@ -132,7 +134,7 @@
     for market in sorted(markets, key=lambda market: market.price / market.units):
         if missing <= 0 or market.price >= steady_price * market.units:
             break
-        taken = min(missing, market.most * market.units)
+        taken = min(missing, market.max_machines * market.units)
         cost += taken / market.units * market.price
         missing -= taken
     return cost + missing * steady_price
@@ -142,19 +144,19 @@
     required: float,
     floor: int,
     steady_price: float,
-    current: list[Market],
-    others: list[Market],
+    current: list[SpotMarket],
+    others: list[SpotMarket],
     spare: int,
     max_groups: int,
-) -> Plan:
+) -> CapacityPlan:
     """The cheapest plan with at least ``floor`` steady machines (Algorithm 1).
 
     With no eligible mix it is steady machines only.
     """
     every = max(machines_for(required, 1.0), floor)
-    best: Plan | None = None
+    best: CapacityPlan | None = None
     markets = [*current, *others]
-    mixes = Mixes(required, steady_price, current, others, spare)
+    mixes = GroupMixes(required, steady_price, current, others, spare)
     due = dict.fromkeys(group_counts(len(current), len(others), spare, max_groups), floor)
     steady = floor
     while due and steady <= every:
@@ -169,4 +171,4 @@
                 best = plan
             due[count] = mixes.same_until(steady, count)
         steady = min(due.values())
-    return best or Plan(every, (), every * steady_price)
+    return best or CapacityPlan(every, (), every * steady_price)
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -6,12 +6,12 @@
 import math
 from collections import Counter
 
-from appleshift.contracts.interfaces import Machines, Need
+from appleshift.contracts.interfaces import CapacityNeed, FleetView
 from appleshift.placement.first_fit import Shortage
 from appleshift.placement.fit import how_many, zone_room
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import MachineType
-from appleshift.provisioning.planner import Market, Plan, find_plan, machines_for
+from appleshift.provisioning.planner import CapacityPlan, SpotMarket, find_plan, machines_for
 from appleshift.provisioning.unclaimed_gpu_machines import rent_unclaimed
 from appleshift.state.cluster_state import BOOTING, OPEN, UP, ClusterState, Job, Machine
 
@@ -21,7 +21,7 @@
 """Work that may wait for this many boots can be rented for when it comes."""
 
 
-def need_of(cluster: ClusterState, shortage: Shortage) -> Need:
+def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
     """Work that found no room, with where there may be any for it."""
     job, spec = shortage.job, shortage.job.spec
     rooms = zone_room(cluster, job)
@@ -31,23 +31,27 @@
         if job.zone in (-1, zone) and (rooms is None or rooms[zone] > 0)
     ]
     kinds = cluster.eligible_types(job)
-    return Need(spec.gpus, spec.cpus, spec.memory_gb, shortage.tasks, spec.spot, kinds, zones)
+    return CapacityNeed(
+        spec.gpus, spec.cpus, spec.memory_gb, shortage.tasks, spec.spot, kinds, zones
+    )
 
 
-class Pool:
+class CapacityPool:
     """One review of the machines with cards, or of those without."""
 
-    def __init__(self, fleet: Machines, gpus: bool) -> None:
+    def __init__(self, fleet: FleetView, gpus: bool) -> None:
         self.fleet = fleet
         self.gpus = gpus
         cluster = fleet.cluster
-        self.kinds = [index for index, kind in enumerate(cluster.types) if (kind.gpus > 0) == gpus]
+        self.type_indices = [
+            index for index, kind in enumerate(cluster.types) if (kind.gpus > 0) == gpus
+        ]
         self.machines = [
             machine
             for machine in cluster.machines.values()
-            if machine.type in self.kinds
+            if machine.type in self.type_indices
             # What cannot be heard is no capacity, though it may come back.
-            and fleet.trust.counts(machine.zone)
+            and fleet.zone_health.is_trusted(machine.zone)
             and not (
                 machine.deletion_requested
                 or machine.quarantined
@@ -55,9 +59,11 @@
                 or machine.cordoned
             )
         ]
-        self.lit = sum(fleet.trust.counts(zone) for zone in range(len(cluster.zones)))
-        self.steady = min(
-            self.kinds,
+        self.reachable_zones = sum(
+            fleet.zone_health.is_trusted(zone) for zone in range(len(cluster.zones))
+        )
+        self.on_demand_type = min(
+            self.type_indices,
             key=lambda index: cluster.types[index].price / self._size(cluster.types[index]),
             default=-1,
         )
@@ -67,7 +73,7 @@
 
     def units(self, kind: MachineType) -> float:
         """A machine measured in steady machines, by its scarcest dimension."""
-        steady = self.fleet.cluster.types[self.steady]
+        steady = self.fleet.cluster.types[self.on_demand_type]
         ratios = [kind.cpus / steady.cpus, kind.memory_gb / steady.memory_gb]
         if self.gpus:
             ratios = [kind.gpus / steady.gpus]
@@ -75,8 +81,8 @@
 
     def demand(self, now: float) -> tuple[float, float]:
         """R, and the part of it that may not use spot machines, over all shares."""
-        steady = self.fleet.cluster.types[self.steady]
-        total, fixed = self.sums(now)
+        steady = self.fleet.cluster.types[self.on_demand_type]
+        total, fixed = self.needed_capacity(now)
         sharing = self.fleet.core.sharing
         if sharing is not None:
             total, fixed = sharing.sums(self.gpus, (total, fixed))
@@ -87,14 +93,14 @@
 
         return in_steady(total), in_steady(fixed)
 
-    def sums(self, now: float) -> tuple[list[float], list[float]]:
+    def needed_capacity(self, now: float) -> tuple[list[float], list[float]]:
         """CPUs, GPUs and GB that this share's jobs need: all, and without spot machines."""
         cluster = self.fleet.cluster
         total = [0.0, 0.0, 0.0]
         fixed = [0.0, 0.0, 0.0]
-        if self.steady < 0:
+        if self.on_demand_type < 0:
             return total, fixed
-        steady = cluster.types[self.steady]
+        steady = cluster.types[self.on_demand_type]
         seats = self.fleet.core.seats
         caps = seats.caps(cluster.jobs.values()) if seats is not None else {}
         for job in cluster.jobs.values():
@@ -133,23 +139,23 @@
         """How many of its tasks the zones that can be heard may take."""
         if not job.spec.spread:
             return job.spec.tasks
-        return self.lit * ((job.spec.tasks + 1) // 2)
+        return self.reachable_zones * ((job.spec.tasks + 1) // 2)
 
     def review(self, now: float) -> None:
-        if self.steady < 0:
+        if self.on_demand_type < 0:
             return
         fleet, cluster = self.fleet, self.fleet.cluster
-        steady_kind = cluster.types[self.steady]
+        steady_kind = cluster.types[self.on_demand_type]
         required, fixed = self.demand(now)
-        recent = fleet.required[self.gpus]
+        recent = fleet.recent_required[self.gpus]
         recent.append((now, required))
         while recent[0][0] < now - fleet.operator.peak_window_s:
             recent.popleft()
         floor = machines_for(max(fixed, required * fleet.operator.floor_share), 1.0)
-        current: list[Market] = []
-        others: list[Market] = []
+        current: list[SpotMarket] = []
+        others: list[SpotMarket] = []
         for market in self.markets(now):
-            chosen = (market.kind, market.zone) in fleet.groups
+            chosen = (market.kind, market.zone) in fleet.spot_groups
             (current if chosen else others).append(market)
         plan = find_plan(
             required,
@@ -160,37 +166,41 @@
             fleet.operator.spare_groups,
             fleet.operator.max_groups,
         )
-        fleet.groups = {market for market in fleet.groups if market[0] not in self.kinds}
-        fleet.groups |= {(market.kind, market.zone) for market, machines in plan.groups if machines}
+        fleet.spot_groups = {
+            market for market in fleet.spot_groups if market[0] not in self.type_indices
+        }
+        fleet.spot_groups |= {
+            (market.kind, market.zone) for market, machines in plan.groups if machines
+        }
         if now >= fleet.next_summary:
             self._summary(required, fixed)
         log.debug("pool gpus=%s R=%.1f fixed=%.1f plan=%s", self.gpus, required, fixed, plan)
-        self._grow(plan, required, fixed, now)
+        self._scale_out(plan, required, fixed, now)
         self._cover_shortages(now)
-        self._shrink(plan, required, fixed, now)
+        self._scale_in(plan, required, fixed, now)
 
-    def markets(self, now: float) -> list[Market]:
+    def markets(self, now: float) -> list[SpotMarket]:
         """Where spot machines may be rented, capped where there are no more."""
         fleet, cluster = self.fleet, self.fleet.cluster
         found = []
-        for kind in self.kinds:
+        for kind in self.type_indices:
             spec = cluster.types[kind]
             for name in spec.zones:
                 zone = cluster.zones.get(name)
-                if fleet.evicted.get((kind, zone), 0.0) > now:
+                if fleet.evicted_markets.get((kind, zone), 0.0) > now:
                     continue
-                have = self._held(kind, zone)
-                most = math.inf if fleet.gives(kind, zone, True) else have
+                have = self._rented_units(kind, zone)
+                most = math.inf if fleet.accepts_rentals(kind, zone, True) else have
                 if most > 0:
-                    found.append(Market(kind, zone, self.units(spec), spec.spot_price, most))
+                    found.append(SpotMarket(kind, zone, self.units(spec), spec.spot_price, most))
         return found
 
-    def _held(self, kind: int, zone: int) -> int:
+    def _rented_units(self, kind: int, zone: int) -> int:
         """Spot machines of a market, those under way included."""
         have = sum(1 for m in self.machines if m.spot and (m.type, m.zone) == (kind, zone))
         return have + sum(
             count
-            for asked, asked_zone, spot, count in self.fleet.asked.values()
+            for asked, asked_zone, spot, count in self.fleet.pending_rentals.values()
             if spot and (asked, asked_zone) == (kind, zone)
         )
 
@@ -209,7 +219,7 @@
             "with cards" if self.gpus else "no cards",
             required,
             fixed,
-            cluster.type_names.names[self.steady],
+            cluster.type_names.names[self.on_demand_type],
             self._capacity(False),
             self._capacity(True),
             len(self.machines),
@@ -219,11 +229,11 @@
             len(short),
         )
 
-    def _asked(self, spot: bool) -> float:
+    def _pending_units(self, spot: bool) -> float:
         return sum(
             count * self.units(self.fleet.cluster.types[kind])
-            for kind, _, asked_spot, count in self.fleet.asked.values()
-            if kind in self.kinds and asked_spot == spot
+            for kind, _, asked_spot, count in self.fleet.pending_rentals.values()
+            if kind in self.type_indices and asked_spot == spot
         )
 
     def _capacity(self, spot: bool) -> float:
@@ -235,33 +245,33 @@
             late = machine.status == BOOTING and now - machine.rented_at > kind.boot_s * 1.6
             if machine.spot == spot and not late:
                 total += self.units(kind)
-        return total + self._asked(spot)
+        return total + self._pending_units(spot)
 
-    def _grow(self, plan: Plan, required: float, fixed: float, now: float) -> None:
+    def _scale_out(self, plan: CapacityPlan, required: float, fixed: float, now: float) -> None:
         fleet, cluster = self.fleet, self.fleet.cluster
         # Orphans fill what groups lack before anything is rented.
         orphans = sum(
             self.units(cluster.types[m.type])
             for m in self.machines
-            if m.spot and (m.type, m.zone) not in fleet.groups
+            if m.spot and (m.type, m.zone) not in fleet.spot_groups
         )
         for market, wanted in plan.groups:
-            missing = wanted - self._held(market.kind, market.zone)
+            missing = wanted - self._rented_units(market.kind, market.zone)
             filled = min(missing, int(orphans / market.units)) if missing > 0 else 0
             orphans -= filled * market.units
             missing -= filled
-            if missing > 0 and fleet.available(market.kind, market.zone, True):
+            if missing > 0 and fleet.may_rent(market.kind, market.zone, True):
                 fleet.rent(market.kind, market.zone, True, missing)
         steady_have = self._capacity(False)
         needed = max(fixed, required - self._capacity(True))
-        crowded = fleet.crowded()
+        crowded = fleet.is_crowded()
 
         def worth(index: int) -> float:
             kind = cluster.types[index]
             # Each machine takes a place: of few places, the large make more.
             return -self._size(kind) if crowded else kind.price / self._size(kind)
 
-        order = sorted(self.kinds, key=worth)
+        order = sorted(self.type_indices, key=worth)
         missing_units = needed - steady_have
         for kind in order:
             if missing_units <= 1e-6:
@@ -281,7 +291,7 @@
                 if missing_units <= 1e-6:
                     return
             if not self.gpus:
-                rent_unclaimed(fleet, self.steady, missing_units)
+                rent_unclaimed(fleet, self.on_demand_type, missing_units)
 
     def _cover_shortages(self, now: float) -> None:
         """Rent for work that the capacity there is can never take.
@@ -298,25 +308,25 @@
             for m in self.machines
             if m.status == BOOTING and now - m.rented_at <= cluster.types[m.type].boot_s * 1.6
         )
-        for kind, zone, spot, count in fleet.asked.values():
+        for kind, zone, spot, count in fleet.pending_rentals.values():
             coming[kind, zone, spot] += count
         sharing = fleet.core.sharing
         others = [] if sharing is None else sharing.needs(self.gpus)
-        for need in [*self.needs(), *others]:
+        for need in [*self.unplaceable_needs(), *others]:
             missing = need.tasks
             for place, count in coming.items():
                 kind, zone, spot = place
                 if missing <= 0:
                     break
-                if count and need.kinds[kind] and zone in need.zones and need.spot >= spot:
-                    fit = self._fit(kind, need)
+                if count and need.eligible_types[kind] and zone in need.zones and need.spot >= spot:
+                    fit = self._tasks_per_machine(kind, need)
                     used = min(count, -(-missing // max(1, fit)) * need.spread_by)
                     coming[place] -= used
                     missing -= used * fit // need.spread_by
             if missing > 0:
                 self._rent_for(need, missing)
 
-    def needs(self) -> list[Need]:
+    def unplaceable_needs(self) -> list[CapacityNeed]:
         """Of this share: work that what it has can never take."""
         fleet, cluster = self.fleet, self.fleet.cluster
         there = {
@@ -329,41 +339,41 @@
             job = shortage.job
             if job.status != OPEN or (job.spec.gpus > 0) != self.gpus:
                 continue
-            need = need_of(cluster, shortage)
+            need = need_of_shortage(cluster, shortage)
             if not job.service and any(
-                need.kinds[kind] and zone in need.zones and need.spot >= spot
+                need.eligible_types[kind] and zone in need.zones and need.spot >= spot
                 for kind, zone, spot in there
             ):
                 continue
             found.append(need)
         return found
 
-    def _fit(self, kind: int, need: Need) -> int:
+    def _tasks_per_machine(self, kind: int, need: CapacityNeed) -> int:
         """How many of its tasks an empty machine of a type takes."""
         offer = self.fleet.cluster.types[kind]
         return how_many(offer.cpus, offer.gpus, offer.memory_gb, need)
 
-    def _rent_for(self, need: Need, tasks: int) -> None:
+    def _rent_for(self, need: CapacityNeed, tasks: int) -> None:
         """Rent the cheapest machines on which these tasks may run."""
         fleet, cluster = self.fleet, self.fleet.cluster
 
         def price(kind: int, spot: bool) -> float:
             offer = cluster.types[kind]
             each = offer.spot_price if spot else offer.price
-            return each * -(-tasks // max(1, self._fit(kind, need)))
+            return each * -(-tasks // max(1, self._tasks_per_machine(kind, need)))
 
         offers = sorted(
             (price(kind, spot), kind, zone, spot)
-            for kind in self.kinds
-            if need.kinds[kind]
+            for kind in self.type_indices
+            if need.eligible_types[kind]
             for spot in ((False, True) if need.spot else (False,))
             for zone in need.zones
             if cluster.zones.names[zone] in cluster.types[kind].zones
-            and fleet.available(kind, zone, spot)
+            and fleet.may_rent(kind, zone, spot)
         )
         if offers:
             _, kind, zone, spot = offers[0]
-            machines = -(-tasks // max(1, self._fit(kind, need)))
+            machines = -(-tasks // max(1, self._tasks_per_machine(kind, need)))
             fleet.rent(kind, zone, spot, machines * need.spread_by)
 
     def _rent_spread(self, kind: int, spot: bool, count: int) -> int:
@@ -374,8 +384,8 @@
             zone
             for zone in zones
             if zone >= 0
-            and fleet.available(kind, zone, spot)
-            and not any(entry[:3] == (kind, zone, spot) for entry in fleet.asked.values())
+            and fleet.may_rent(kind, zone, spot)
+            and not any(entry[:3] == (kind, zone, spot) for entry in fleet.pending_rentals.values())
         ]
         if count <= 0 or not open_zones:
             return 0
@@ -393,12 +403,12 @@
                 fleet.rent(kind, zone, spot, share)
         return sum(shares.values())
 
-    def _shrink(self, plan: Plan, required: float, fixed: float, now: float) -> None:
+    def _scale_in(self, plan: CapacityPlan, required: float, fixed: float, now: float) -> None:
         """Return idle machines that the plan does without, the dearest first."""
         fleet, cluster = self.fleet, self.fleet.cluster
         sharing = fleet.core.sharing
-        fleet.steady_spare[self.gpus] = 0.0
-        if fleet.asked or any(s.job.spec.gpus > 0 for s in fleet.shortages if self.gpus):
+        fleet.on_demand_spare[self.gpus] = 0.0
+        if fleet.pending_rentals or any(s.job.spec.gpus > 0 for s in fleet.shortages if self.gpus):
             return
         wanted = {(market.kind, market.zone): count for market, count in plan.groups}
         steady_spare = self._capacity(False) - max(fixed, required - self._capacity(True))
@@ -420,7 +430,10 @@
             if machine.spot:
                 market = (machine.type, machine.zone)
                 gone = sum(1 for m in leaving if m.spot and (m.type, m.zone) == market)
-                if self._held(*market) - gone <= wanted.get(market, 0) or total_spare < units:
+                if (
+                    self._rented_units(*market) - gone <= wanted.get(market, 0)
+                    or total_spare < units
+                ):
                     continue
             elif steady_spare < units:
                 continue
@@ -430,9 +443,9 @@
             leaving.append(machine)
         if not leaving:
             # Bursts come back: what one needed a moment ago is not to spare.
-            peak = max((amount for _, amount in fleet.required[self.gpus]), default=required)
+            peak = max((amount for _, amount in fleet.recent_required[self.gpus]), default=required)
             needed = max(fixed, peak - self._capacity(True))
-            fleet.steady_spare[self.gpus] = self._capacity(False) - needed
+            fleet.on_demand_spare[self.gpus] = self._capacity(False) - needed
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
         fleet.core.delete([machine for machine in leaving if not machine.in_other_shard])
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -8,16 +8,16 @@
 
 from __future__ import annotations
 
-from appleshift.contracts.interfaces import Machines
+from appleshift.contracts.interfaces import FleetView
 from appleshift.placement.fit import ends_anywhere
 from appleshift.protocol import cloud
 
-DEAREST = 2.0
+MAX_PRICE_RATIO = 2.0
 """Of the price of the cheapest steady machine, by CPUs. Operators reckon that work which
 is long overdue is bought elsewhere for twice its cost: beyond that, waiting is cheaper."""
 
 
-def rent_unclaimed(fleet: Machines, steady: int, missing: float) -> None:
+def rent_unclaimed(fleet: FleetView, steady: int, missing: float) -> None:
     """Rent for capacity that is missing, in steady machines of a type without cards, once
     no market without cards has any."""
     cluster = fleet.cluster
@@ -30,9 +30,9 @@
     for index, kind in enumerate(cluster.types):
         for name in kind.zones if kind.gpus <= 0 else ():
             zone = cluster.zones.get(name)
-            if not all(fleet.exhausted(index, zone, spot) for spot in (False, True)):
+            if not all(fleet.is_exhausted(index, zone, spot) for spot in (False, True)):
                 return
-    dear = plain.price / plain.cpus * DEAREST
+    dear = plain.price / plain.cpus * MAX_PRICE_RATIO
     offers = sorted(
         (kind.spot_price / kind.cpus, index)
         for index, kind in enumerate(cluster.types)
@@ -47,12 +47,14 @@
             if machine.type == index and machine.spot and not machine.deletion_requested
         )
         have += sum(
-            count for asked, _, spot, count in fleet.asked.values() if spot and asked == index
+            count
+            for asked, _, spot, count in fleet.pending_rentals.values()
+            if spot and asked == index
         )
         wanted = int(missing / units) - have
         for name in kind.zones:
             zone = cluster.zones.get(name)
-            if wanted > 0 and zone >= 0 and fleet.available(index, zone, True):
+            if wanted > 0 and zone >= 0 and fleet.may_rent(index, zone, True):
                 fleet.rent(index, zone, True, wanted)
                 wanted -= min(wanted, cloud.MAX_RENT)
         missing -= have * units
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -17,8 +17,8 @@
 from appleshift.dispatch.worker_commands import REORDER_S, Orders
 from appleshift.heartbeat_ingest.fast_path import Express
 from appleshift.machines.fleet import Fleet
-from appleshift.machines.liveness import Hearing
-from appleshift.node_limits.node_limits import Pace
+from appleshift.machines.liveness import MachineLiveness
+from appleshift.node_limits.node_limits import TimeBudget
 from appleshift.objectives.objectives import Aims
 from appleshift.placement.counted_resources import Seats
 from appleshift.placement.first_fit import Placer
@@ -104,8 +104,8 @@
         self.dirty = True
         self.placed_at = 0.0
         self.next_tick = now
-        self._placing = Pace(clock, PLACE_SHARE)
-        self._ticking = Pace(clock, TICK_SHARE)
+        self._placing = TimeBudget(clock, PLACE_SHARE)
+        self._ticking = TimeBudget(clock, TICK_SHARE)
         self.unsaved_finals = list(replay.unsaved_final_states)
         self.worker_lease_s = settings.deployment.workers.lease_s * DRIFT + LEASE_MARGIN_S
         self.orders = Orders(self)
@@ -114,7 +114,7 @@
         self.express = Express()
         self._waiting: dict[int, Any] = {}
         self.is_stalled = False
-        self.hearing = Hearing(self)
+        self.hearing = MachineLiveness(self)
         self.fleet = Fleet(self, replay.groups)
         self.requests = Requests(self)
         if sharing is not None:
@@ -142,7 +142,7 @@
             self.seats.recovered()
         for submitted, spec in sorted(replay.arrivals, key=lambda entry: entry[0]):
             # What arrived under the leader before still says how much comes.
-            self.fleet.arrived(spec, self.now - max(0.0, wall - submitted))
+            self.fleet.job_arrived(spec, self.now - max(0.0, wall - submitted))
         for machine in cluster.machines.values():
             machine.status = UP
             # Whoever led before us may have answered until we were elected.
@@ -210,7 +210,7 @@
     # -- users ------------------------------------------------------------------
 
     def arrived(self, spec: Submission) -> None:
-        self.fleet.arrived(spec, self.now)
+        self.fleet.job_arrived(spec, self.now)
 
     def cancelled(self, job: Job) -> None:
         """The cancellation is durable: everything of the job ends."""
@@ -337,8 +337,8 @@
             self.reply(slot, 503, users.error_body("machine not known here"))
             return
         token = self.token_for(machine)
-        self.hearing.caught_up(machine)
-        if not self.hearing.reported(machine, report):
+        self.hearing.apply_fast_path(machine)
+        if not self.hearing.is_new_heartbeat(machine, report):
             # A copy, or the original after its copy: the lease that its answer may renew
             # was counted with the first one. Whoever renews it tells what has to end.
             self.reply(slot, 200, workers.heartbeat_response(token, self.orders.ends(machine)))
@@ -383,7 +383,7 @@
             return
         machine.seq = report.seq
         machine.last_heard = self.now
-        self.fleet.heard(machine, report)
+        self.fleet.heartbeat_received(machine, report)
         fenced = report.fencing_token >= self.token_for(machine)
         seen: set[tuple[str, int]] = set()
         done: list[TaskRun] = []
@@ -519,7 +519,7 @@
 
     def _tick(self) -> None:
         for machine in list(self.cluster.machines.values()):
-            self.hearing.caught_up(machine)
+            self.hearing.apply_fast_path(machine)
             # A node that slept for 23 s judged 600 leases in its first moment, for nobody.
             over = machine.runs and machine.lease_until < self.now and machine.agent_epoch
             if over and self.authority.may_answer(self.now):
@@ -533,7 +533,7 @@
                 if run.stop_grace_s is None:
                     self.stop(run, 0.0, "over")
                 elif self.now - run.stop_ordered_at > cancel_s * 0.6:
-                    self.fleet.give_up(run.machine, "a cancelled task does not end")
+                    self.fleet.delete(run.machine, "a cancelled task does not end")
                 elif run.machine.last_heard > self.now - 3 * REORDER_S:
                     self.orders.due(run.machine)
         if self.authority.may_answer(self.now):
@@ -557,7 +557,7 @@
         self.unsaved_finals = []
         seats = self.seats
         counted = None if seats is None else seats.live()
-        live = records.live_records(self.cluster, self.fleet.group_table(), counted)
+        live = records.live_records(self.cluster, self.fleet.spot_group_names(), counted)
         log.info("snapshot: %d records, %d ended jobs", len(live), len(finals))
         if seats is None:
             journal.start_snapshot(live, finals)
@@ -617,7 +617,7 @@
             self.session_over(machine)
             self.cluster.drop_machine(machine)
             self.express.cells.pop(name, None)
-            self.fleet.dropped(machine)
+            self.fleet.machine_deleted(machine)
             if machine.addr:
                 self.journal.append(records.machine_deleted_record(machine))
         self.dirty = True
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -191,11 +191,11 @@
             self.end()
             self.election.step_down()
         elif isinstance(event, events.Types):
-            core.fleet.types(event.types)
+            core.fleet.set_machine_types(event.types)
         elif isinstance(event, events.Listed):
-            core.fleet.listed(event.machines, event.whole)
+            core.fleet.machines_listed(event.machines, event.whole)
         elif isinstance(event, events.Rented):
-            core.fleet.rented(event.request, event.machines, event.refused)
+            core.fleet.rental_answered(event.request, event.machines, event.refused)
         elif isinstance(event, events.Deleted):
             core.deleted(event.machines, event.ok)
         elif isinstance(event, events.ShareTold) and core.sharing is not None:
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from appleshift.contracts.interfaces import Need
+from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.placement.fit import how_many
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
@@ -69,7 +69,7 @@
             core.token,
             cluster.types,
             sorted(self._leaving[digest.share])[: cloud.MAX_DELETE],
-            fleet.steady_spare.get(False, 0.0) / plain,
+            fleet.on_demand_spare.get(False, 0.0) / plain,
             [(name, share) for name, (share, _) in moving.items()],
         )
 
@@ -223,7 +223,7 @@
                     into[size] = max(into[size], amount * len(plain))
         return total, fixed
 
-    def needs(self, gpus: bool) -> list[Need]:
+    def needs(self, gpus: bool) -> list[CapacityNeed]:
         cluster = self._core.cluster
         found = []
         for digest in self._fresh():
@@ -232,7 +232,7 @@
                 if (need.gpus > 0) != gpus:
                     continue
                 found.append(
-                    Need(
+                    CapacityNeed(
                         need.gpus,
                         need.cpus,
                         need.memory_gb,
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -25,7 +25,7 @@
 from appleshift.contracts.actions import CallShare
 from appleshift.leader_election.election import PEER_STATUS_VALID_S, LeaderTerm
 from appleshift.leader_election.peer_monitor import PeerMonitor
-from appleshift.node_limits.node_limits import Capacity
+from appleshift.node_limits.node_limits import NodeLimits
 from appleshift.protocol import kv, peers
 from appleshift.protocol.sharding import (
     MAP_KEY,
@@ -292,9 +292,9 @@
         core = self._holdings[0].core
         if core is not None:
             limits = self.house.settings.deployment.machine_limits
-            places = Capacity.of(limits, shared=True).machines
+            places = NodeLimits.from_machine_limits(limits, shared=True).machines
             nodes = min(len(self.house.siblings) + 1, shares)
-            core.fleet.hear(int(places * nodes * CLOSED))
+            core.fleet.set_max_machines(int(places * nodes * CLOSED))
 
     def hello(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
         """What this node says of itself, with its shares."""
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -10,7 +10,7 @@
 
 import logging
 
-from appleshift.contracts.interfaces import Need
+from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.sharding import (
     GONE,
     LEAVING,
@@ -21,7 +21,7 @@
     NeedNow,
     Plan,
 )
-from appleshift.provisioning.pool import Pool, need_of
+from appleshift.provisioning.pool import CapacityPool, need_of_shortage
 from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
 from appleshift.sharding.machine_transfer import Handing
 from appleshift.state.cluster_state import UP as MACHINE_UP
@@ -32,9 +32,9 @@
 NEEDS = 40
 
 
-def told_need(cluster: ClusterState, need: Need) -> NeedNow:
+def told_need(cluster: ClusterState, need: CapacityNeed) -> NeedNow:
     """As it is told to another node, by names."""
-    kinds = [kind.name for kind, ok in zip(cluster.types, need.kinds, strict=True) if ok]
+    kinds = [kind.name for kind, ok in zip(cluster.types, need.eligible_types, strict=True) if ok]
     zones = [cluster.zones.names[zone] for zone in need.zones]
     return NeedNow(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
 
@@ -43,7 +43,7 @@
     """What waits for room, the most urgent first."""
     cluster = core.cluster
     some = core.fleet.shortages[:NEEDS]
-    return [told_need(cluster, need_of(cluster, shortage)) for shortage in some]
+    return [told_need(cluster, need_of_shortage(cluster, shortage)) for shortage in some]
 
 
 class Reporting:
@@ -88,14 +88,16 @@
             changed.append(MachineNow(name, "", "", False, state, False))
         self._flying = {each.name: (each.state, each.idle) for each in changed}
         self._flying_evicted = set(self._evicted)
-        pools = [Pool(core.fleet, gpus) for gpus in (False, True)] if cluster.types else []
+        pools = [CapacityPool(core.fleet, gpus) for gpus in (False, True)] if cluster.types else []
         return Digest(
             self._number,
             core.token,
             self._seq,
             changed,
-            [[*pool.sums(now)] for pool in pools],
-            [told_need(cluster, need) for pool in pools for need in pool.needs()][:NEEDS],
+            [[*pool.needed_capacity(now)] for pool in pools],
+            [told_need(cluster, need) for pool in pools for need in pool.unplaceable_needs()][
+                :NEEDS
+            ],
             lacking(core),
             sorted(self._evicted),
             len(cluster.jobs),
@@ -116,8 +118,8 @@
             self._said = dict(self._flying)
         self._flying, self._flying_evicted = {}, set()
         if plan.types:
-            core.fleet.types(plan.types)
-        core.fleet.steady_spare[False] = plan.spare
+            core.fleet.set_machine_types(plan.types)
+        core.fleet.on_demand_spare[False] = plan.spare
         for name, share in plan.hand_on:
             self._handing.give(name, share)
         leaving = [machine for name in plan.give_back if (machine := cluster.machine(name))]
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from appleshift.contracts.actions import CallShare
-from appleshift.contracts.interfaces import Need
+from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.sharding import Ask, Digest, Plan, Told
 from appleshift.protocol.users import Submission
@@ -100,7 +100,7 @@
     ) -> tuple[list[float], list[float]]:
         return self._overview.sums(gpus, own)
 
-    def needs(self, gpus: bool) -> list[Need]:
+    def needs(self, gpus: bool) -> list[CapacityNeed]:
         return self._overview.needs(gpus)
 
     # -- other holders ---------------------------------------------------------------------
