--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -18,13 +18,13 @@
 
 ANSWER_S = 4.0
 """Users wait 5 s for most answers, workers 4 s; later ones help nobody."""
-MOST_LOAD: dict[type[events.Request], float] = {
-    events.Beat: 2.0,
-    events.ShareAsk: 2.0,
-    events.Cancel: 1.5,
-    events.Submit: 1.0,
-    events.Status: 0.75,
-    events.SeatsLook: 0.5,
+MOST_LOAD: dict[type[events.ApiRequest], float] = {
+    events.HeartbeatReceived: 2.0,
+    events.ShardRequestReceived: 2.0,
+    events.CancelJob: 1.5,
+    events.SubmitJob: 1.0,
+    events.GetJobStatus: 0.75,
+    events.GetCountedResources: 0.5,
 }
 """Up to which length of the core's queue, measured in what a node should keep
 waiting, a kind of request is put in it. What waits is answered late, and what
@@ -134,17 +134,17 @@
         holder = replica.election.current_leader()
         return not self.entitled(replica) and holder not in (None, replica.election.name)
 
-    def ask_core(self, event: events.Request) -> CoreAnswer | None:
+    def ask_core(self, event: events.ApiRequest) -> CoreAnswer | None:
         """Put a request to the core and wait for its answer; None: it gives none in time."""
         if self.load() > MOST_LOAD[type(event)]:
             return None
         self.post(event)
         try:
-            return CoreAnswer(*event.slot.get(timeout=ANSWER_S))
+            return CoreAnswer(*event.reply_to.get(timeout=ANSWER_S))
         except queue.Empty:
             return None
 
-    def ask(self, event: events.Request) -> Response:
+    def ask(self, event: events.ApiRequest) -> Response:
         """What the core answers to a request, as a response."""
         answer = self.ask_core(event)
         return unavailable() if answer is None else answer.response()
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -80,7 +80,9 @@
             return (
                 self._forwarder.forward(self._context.first, request, forwarded, hold=True)
                 if self._context.elsewhere(self._context.first)
-                else self._context.ask(events.SeatsLook(0, self._context.routines.mailbox(), None))
+                else self._context.ask(
+                    events.GetCountedResources(0, self._context.routines.mailbox(), None)
+                )
             )
         if what not in ("pages", "after") or not number.isdecimal() or len(number) > 18:
             return respond(404, users.error_body("no such path"))
@@ -90,7 +92,7 @@
         if self._context.elsewhere(self._context.first):
             return self._forwarder.forward(self._context.first, request, forwarded, hold=True)
         return self._context.ask(
-            events.SeatsLook(0, self._context.routines.mailbox(), int(number) - 1)
+            events.GetCountedResources(0, self._context.routines.mailbox(), int(number) - 1)
         )
 
     def _audit_page(self, number: int) -> Response:
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -20,7 +20,7 @@
 
 JOBS = "/submissions"
 
-JobRequest = events.Submit | events.Status | events.Cancel
+JobRequest = events.SubmitJob | events.GetJobStatus | events.CancelJob
 MakeEvent = Callable[[int, bool, int], JobRequest]
 """Makes the event for a share; whether another share says that it decides, and the
 version of the map that led there."""
@@ -42,8 +42,8 @@
     def submit(self, request: Request, forwarded: bool) -> Response:
         spec = users.decode_submission(request.body)
 
-        def event(share: int, homed: bool, version: int) -> events.Submit:
-            return events.Submit(share, self._context.routines.mailbox(), spec, homed)
+        def event(share: int, homed: bool, version: int) -> events.SubmitJob:
+            return events.SubmitJob(share, self._context.routines.mailbox(), spec, homed)
 
         known = self._context.share_map()
         if forwarded or known is None:
@@ -70,10 +70,14 @@
         return self._job(self._cancel_event(job_id), job_id, request, forwarded, hold=False)
 
     def _status_event(self, job_id: str) -> MakeEvent:
-        return lambda *by: events.Status(by[0], self._context.routines.mailbox(), job_id, *by[1:])
+        return lambda *by: events.GetJobStatus(
+            by[0], self._context.routines.mailbox(), job_id, *by[1:]
+        )
 
     def _cancel_event(self, job_id: str) -> MakeEvent:
-        return lambda *by: events.Cancel(by[0], self._context.routines.mailbox(), job_id, *by[1:])
+        return lambda *by: events.CancelJob(
+            by[0], self._context.routines.mailbox(), job_id, *by[1:]
+        )
 
     def _job(
         self, event: MakeEvent, job_id: str, request: Request, forwarded: bool, hold: bool
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -60,7 +60,7 @@
             if relay is not None and relay != here:
                 return respond(421, workers.redirect(relay))
             return self._context.ask(
-                events.Beat(0, self._context.routines.mailbox(), report, tasks)
+                events.HeartbeatReceived(0, self._context.routines.mailbox(), report, tasks)
             )
         leader = election.current_leader()
         if relay == here and leader is not None and leader != here:
@@ -113,7 +113,7 @@
             return unavailable()
         if not self._context.elsewhere(replica):
             return self._context.ask(
-                events.Beat(share, self._context.routines.mailbox(), report, tasks)
+                events.HeartbeatReceived(share, self._context.routines.mailbox(), report, tasks)
             )
         holder, here = replica.election.current_leader(), replica.election.name
         return respond(421, workers.redirect(None if holder == here else holder))
@@ -129,7 +129,7 @@
             slot = self._context.routines.mailbox()
             if (
                 self._context.elsewhere(self._context.first)
-                or self._context.load() > MOST_LOAD[events.Beat]
+                or self._context.load() > MOST_LOAD[events.HeartbeatReceived]
             ):
                 waiting.append((unavailable(), slot))
                 continue
@@ -140,7 +140,7 @@
                     waiting.append((Response(200, answer), slot))
                     continue
                 report = workers.decode_heartbeat(bytes(raw))
-                self._context.post(events.Beat(0, slot, report, bytes(glance.tasks)))
+                self._context.post(events.HeartbeatReceived(0, slot, report, bytes(glance.tasks)))
                 waiting.append((None, slot))
             except ProtocolError as error:
                 waiting.append((respond(error.status, users.error_body(error.reason)), slot))
--- a/appleshift/contracts/actions.py
+++ b/appleshift/contracts/actions.py
@@ -10,26 +10,26 @@
 class Reply:
     """Answer the request that waits in ``slot``."""
 
-    slot: Any
+    reply_to: Any
     status: int
     body: dict[str, Any]
     retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Push:
+class SendCommands:
     """Send commands straight to a worker; the outcome comes back as an event."""
 
     machine: str
     addr: str
-    session: int
+    agent_epoch: int
     commands: list[dict[str, Any]]
     starts: tuple[tuple[str, int], ...] = ()
-    token: int = 0
+    fencing_token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Inspect:
+class ProbeMachine:
     """Ask a silent worker for its report."""
 
     machine: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rent:
+class RentMachines:
     request: str
     type: str
     zone: str
@@ -46,16 +46,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delete:
+class DeleteMachines:
     machines: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class CallShare:
+class CallShard:
     """Tell or ask the holder of another share; its answer comes back as an event."""
 
-    share: int
+    shard: int
     message: Any
 
 
-Effect = Reply | Push | Inspect | Rent | Delete | CallShare
+Action = Reply | SendCommands | ProbeMachine | RentMachines | DeleteMachines | CallShard
--- a/appleshift/contracts/events.py
+++ b/appleshift/contracts/events.py
@@ -15,37 +15,37 @@
 from appleshift.protocol.workers import Heartbeat
 
 
-class Won(msgspec.Struct, frozen=True):
+class ElectionWon(msgspec.Struct, frozen=True):
     """An election was won; ``term`` is its Term."""
 
     term: Any
 
     @property
-    def share(self) -> int:
+    def shard(self) -> int:
         return int(self.term.share)
 
 
-class Lost(msgspec.Struct, frozen=True):
-    share: int
+class LeadershipLost(msgspec.Struct, frozen=True):
+    shard: int
 
 
-class GiveUp(msgspec.Struct, frozen=True):
+class HandOverRequested(msgspec.Struct, frozen=True):
     """What this node holds is handed over, in order: another one reaches more."""
 
 
 # -- requests ------------------------------------------------------------------
 
 
-class Request(msgspec.Struct, frozen=True):
+class ApiRequest(msgspec.Struct, frozen=True):
     """Somebody waits for an answer: (status, body, retry after seconds)."""
 
-    share: int
-    slot: Any
+    shard: int
+    reply_to: Any
 
 
-class Submit(Request, frozen=True):
+class SubmitJob(ApiRequest, frozen=True):
     spec: Submission
-    homed: bool = False
+    forwarded_by_home: bool = False
     """Another share has written down that this one decides for the job."""
 
     @property
@@ -53,32 +53,32 @@
         return self.spec.id
 
 
-class Status(Request, frozen=True):
+class GetJobStatus(ApiRequest, frozen=True):
     job_id: str
-    homed: bool = False
-    map_version: int = 0
+    forwarded_by_home: bool = False
+    shard_map_version: int = 0
     """Of the map of shares by which the asker came to ask here; 0: there is none."""
 
 
-class Cancel(Request, frozen=True):
+class CancelJob(ApiRequest, frozen=True):
     job_id: str
-    homed: bool = False
-    map_version: int = 0
+    forwarded_by_home: bool = False
+    shard_map_version: int = 0
 
 
-class Beat(Request, frozen=True):
-    report: Heartbeat
+class HeartbeatReceived(ApiRequest, frozen=True):
+    heartbeat: Heartbeat
     tasks: bytes | None = None
     """The report's tasks as they were sent."""
 
 
-class SeatsLook(Request, frozen=True):
+class GetCountedResources(ApiRequest, frozen=True):
     """Counted resources as they are, or their audit after an entry."""
 
     after: int | None
 
 
-class ShareAsk(Request, frozen=True):
+class ShardRequestReceived(ApiRequest, frozen=True):
     """The holder of another share asks or tells something."""
 
     message: Any
@@ -87,70 +87,70 @@
 # -- what belongs to a term ------------------------------------------------------
 
 
-class Outcome(msgspec.Struct, frozen=True):
+class TermEvent(msgspec.Struct, frozen=True):
     term: Any
 
     @property
-    def share(self) -> int:
+    def shard(self) -> int:
         return int(self.term.share)
 
 
-class Committed(Outcome, frozen=True):
+class CommitSucceeded(TermEvent, frozen=True):
     revision: int
 
 
-class Stalled(Outcome, frozen=True):
+class CommitStalled(TermEvent, frozen=True):
     """The state service does not take a write right now."""
 
 
-class Deposed(Outcome, frozen=True):
+class Fenced(TermEvent, frozen=True):
     """A guard failed: somebody else holds the share, or nobody does."""
 
 
-class Pushed(Outcome, frozen=True):
+class CommandsSent(TermEvent, frozen=True):
     machine: str
-    session: int
+    agent_epoch: int
     starts: tuple[tuple[str, int], ...]
     outcome: str
-    report: Heartbeat | None
+    heartbeat: Heartbeat | None
 
 
-class Probed(Outcome, frozen=True):
+class ProbeAnswered(TermEvent, frozen=True):
     machine: str
-    report: Heartbeat | None
+    heartbeat: Heartbeat | None
 
 
-class Types(Outcome, frozen=True):
+class MachineTypesListed(TermEvent, frozen=True):
     types: list[MachineType]
 
 
-class Listed(Outcome, frozen=True):
+class MachinesListed(TermEvent, frozen=True):
     machines: list[ListedMachine]
-    whole: bool
+    complete: bool
 
 
-class Rented(Outcome, frozen=True):
+class RentalAnswered(TermEvent, frozen=True):
     request: str
     machines: list[str] | None
     refused: bool
 
 
-class Deleted(Outcome, frozen=True):
+class DeletionAnswered(TermEvent, frozen=True):
     machines: tuple[str, ...]
     ok: bool
 
 
-class LicenceTold(Outcome, frozen=True):
+class LicenseServerAnswered(TermEvent, frozen=True):
     resource: str
     serial: int
-    standing: Any
+    reply: Any
 
 
-class ShareTold(Outcome, frozen=True):
+class ShardReplyReceived(TermEvent, frozen=True):
     """What the holder of the share that was asked answered; None: no answer."""
 
-    asked: int
-    answer: Any
+    target_shard: int
+    reply: Any
 
 
-Event = Won | Lost | GiveUp | Request | Outcome
+Event = ElectionWon | LeadershipLost | HandOverRequested | ApiRequest | TermEvent
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from appleshift.contracts.actions import Effect
+from appleshift.contracts.actions import Action
 from appleshift.objectives.objectives import Aims
 from appleshift.placement.counted_resources import Seats
 from appleshift.placement.first_fit import Shortage
@@ -24,7 +24,7 @@
 from appleshift.storage.write_ahead_log import WriteAheadLog
 
 
-class Authority(Protocol):
+class LeaseHolder(Protocol):
     """What this node may do right now, by its own clock."""
 
     def may_write(self, now: float) -> bool:
@@ -42,56 +42,58 @@
     def command_result(self, machine: Machine, reached: bool) -> None: ...
 
 
-class Term(Protocol):
+class SchedulerView(Protocol):
     """The core of one term, as its parts see it."""
 
     settings: Settings
     operator: OperatorSettings
-    authority: Authority
+    lease: LeaseHolder
     cluster: ClusterState
-    journal: WriteAheadLog
-    effects: deque[Effect]
-    aims: Aims
-    seats: Seats | None
-    sharing: Sharing | None
+    log: WriteAheadLog
+    actions: deque[Action]
+    objectives: Aims
+    counted_resources: Seats | None
+    sharing: ShardingView | None
     clock: Callable[[], float]
     now: float
-    token: int
+    fencing_token: int
     worker_lease_s: float
-    dirty: bool
-    unsaved_finals: list[tuple[str, int]]
+    placement_needed: bool
+    unsaved_final_states: list[tuple[str, int]]
 
-    def write(self, some: list[Record], then: Callable[[], None] | None = None) -> None: ...
+    def append_records(
+        self, some: list[Record], then: Callable[[], None] | None = None
+    ) -> None: ...
 
     @property
-    def hearing(self) -> CommandResultListener: ...
+    def liveness(self) -> CommandResultListener: ...
 
-    def observe(self, machine: Machine, report: Heartbeat) -> None: ...
+    def reconcile(self, machine: Machine, report: Heartbeat) -> None: ...
 
-    def token_for(self, machine: Machine) -> int: ...
+    def fencing_token_for(self, machine: Machine) -> int: ...
 
-    def stop(self, run: TaskRun, grace: float, reason: str) -> None: ...
+    def stop_run(self, run: TaskRun, grace: float, reason: str) -> None: ...
 
     def stop_gang(self, job: Any, grace: float, reason: str) -> None: ...
 
-    def delete(self, machines: list[Machine]) -> None: ...
+    def delete_machines(self, machines: list[Machine]) -> None: ...
 
 
-class Sharing(Protocol):
+class ShardingView(Protocol):
     """What a share has to do with the others, if there are several.
 
     ``appleshift.sharding`` implements it; nothing here loads it.
     """
 
-    number: int
-    shares: int
+    shard: int
+    shard_count: int
     """How many there are."""
 
-    def serve(self, core: Any) -> None:
+    def attach(self, core: Any) -> None:
         """From now on this is the core of the share."""
         ...
 
-    def owns(self, machine: str, kind: str) -> bool:
+    def owns_machine(self, machine: str, kind: str) -> bool:
         """Does a machine of that name and type belong to this share?"""
         ...
 
@@ -99,47 +101,47 @@
         """Does a new job of that id belong here?"""
         ...
 
-    def may_know(self, job_id: str, map_version: int) -> bool:
+    def is_current_map(self, job_id: str, map_version: int) -> bool:
         """Does who asks by that version of the map ask in the right places?"""
         ...
 
-    def decides(self, spec: Submission) -> int:
+    def deciding_shard(self, spec: Submission) -> int:
         """The share that decides for a job submitted here."""
         ...
 
-    def divide(self, job: Any) -> list[Record]:
+    def partition_array(self, job: Any) -> list[Record]:
         """Send part of a large array away; what has to be written down for it."""
         ...
 
-    def call_off(self, job: Any, slot: Any) -> None:
+    def cancel_partitioned(self, job: Any, slot: Any) -> None:
         """Cancel a job of which other shares run a part, then answer."""
         ...
 
-    def asked(self, message: Any, slot: Any) -> None:
+    def request_received(self, message: Any, slot: Any) -> None:
         """The holder of another share asks or tells something."""
         ...
 
-    def told(self, share: int, answer: Any) -> None:
+    def reply_received(self, share: int, answer: Any) -> None:
         """What it answered to what this one asked; None: nothing."""
         ...
 
     def step(self, now: float) -> None: ...
 
-    def evicted(self, kind: int, zone: int) -> None:
+    def machine_evicted(self, kind: int, zone: int) -> None:
         """A machine of this market was taken back."""
         ...
 
-    def give_back(self, machines: list[Machine]) -> None:
+    def return_machines(self, machines: list[Machine]) -> None:
         """The plan does without these idle machines of other shares."""
         ...
 
-    def sums(
+    def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
         """What this share and the others need in all, and without spot machines."""
         ...
 
-    def needs(self, gpus: bool) -> list[CapacityNeed]:
+    def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
         """Work of other shares that no machine of theirs can ever take."""
         ...
 
@@ -173,7 +175,7 @@
 class FleetView(Protocol):
     """The fleet, as what looks at it and rents for it sees it."""
 
-    core: Term
+    core: SchedulerView
     cluster: ClusterState
     operator: OperatorSettings
     shortages: list[Shortage]
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -58,7 +58,7 @@
                     log.info("licence server of %s: status %d", ask.resource, status)
         except (ClientError, ProtocolError) as error:
             log.info("licence server of %s: %s", ask.resource, error)
-        self._post(events.LicenceTold(term, ask.resource, ask.heartbeat.serial, standing))
+        self._post(events.LicenseServerAnswered(term, ask.resource, ask.heartbeat.serial, standing))
 
     def stop(self) -> None:
         self._pool.stop()
--- a/appleshift/dispatch/outbound_calls.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from appleshift.contracts import events
-from appleshift.contracts.actions import Delete, Inspect, Push, Rent
+from appleshift.contracts.actions import DeleteMachines, ProbeMachine, RentMachines, SendCommands
 from appleshift.protocol import cloud, workers
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError, decode, encode
@@ -19,9 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-PUSH_TIMEOUT_S = 1.5
-INSPECT_TIMEOUT_S = 0.6
-RENT_TRIES = 5
+COMMAND_TIMEOUT_S = 1.5
+PROBE_TIMEOUT_S = 0.6
+RENTAL_ATTEMPTS = 5
 
 Post = Callable[[events.Event], None]
 Connect = Callable[[tuple[str, int]], Caller]
@@ -41,11 +41,11 @@
         self._clients: OrderedDict[str, Caller] = OrderedDict()
         self._lock = threading.Lock()
 
-    def push(self, effect: Push, term: Any) -> None:
-        self._pool.submit(self._push, effect, term)
+    def send_commands(self, effect: SendCommands, term: Any) -> None:
+        self._pool.submit(self._send_commands, effect, term)
 
-    def inspect(self, effect: Inspect, term: Any) -> None:
-        self._pool.submit(self._inspect, effect, term)
+    def probe(self, effect: ProbeMachine, term: Any) -> None:
+        self._pool.submit(self._probe, effect, term)
 
     def _client(self, addr: str) -> Caller:
         with self._lock:
@@ -58,20 +58,22 @@
             self._clients.move_to_end(addr)
             return client
 
-    def reaches(self, addr: str) -> bool:
+    def is_reachable(self, addr: str) -> bool:
         """Does that worker answer this node?"""
         try:
             client = self._client(addr)
-            return client.request("GET", "/inspect", None, INSPECT_TIMEOUT_S)[0] == 200
+            return client.request("GET", "/inspect", None, PROBE_TIMEOUT_S)[0] == 200
         except (ClientError, ValueError):
             return False
 
-    def _push(self, effect: Push, term: Any) -> None:
+    def _send_commands(self, effect: SendCommands, term: Any) -> None:
         outcome = "unknown"
         report: Heartbeat | None = None
         try:
-            body = encode(workers.direct(effect.token, effect.session, effect.commands))
-            status, answer = self._client(effect.addr).request("POST", "/do", body, PUSH_TIMEOUT_S)
+            body = encode(workers.direct(effect.fencing_token, effect.agent_epoch, effect.commands))
+            status, answer = self._client(effect.addr).request(
+                "POST", "/do", body, COMMAND_TIMEOUT_S
+            )
             if status == 200:
                 outcome = "done"
             elif status in (400, 409):
@@ -81,19 +83,21 @@
         except (ClientError, ProtocolError, ValueError) as error:
             log.debug("command to %s: %s", effect.machine, error)
         self._post(
-            events.Pushed(term, effect.machine, effect.session, effect.starts, outcome, report)
+            events.CommandsSent(
+                term, effect.machine, effect.agent_epoch, effect.starts, outcome, report
+            )
         )
 
-    def _inspect(self, effect: Inspect, term: Any) -> None:
+    def _probe(self, effect: ProbeMachine, term: Any) -> None:
         report: Heartbeat | None = None
         try:
             client = self._client(effect.addr)
-            status, answer = client.request("GET", "/inspect", None, INSPECT_TIMEOUT_S)
+            status, answer = client.request("GET", "/inspect", None, PROBE_TIMEOUT_S)
             if status == 200:
                 report = decode_heartbeat(answer)
         except (ClientError, ProtocolError, ValueError) as error:
             log.debug("probe of %s: %s", effect.machine, error)
-        self._post(events.Probed(term, effect.machine, report))
+        self._post(events.ProbeAnswered(term, effect.machine, report))
 
     def stop(self) -> None:
         self._pool.stop()
@@ -126,7 +130,7 @@
     def start(self) -> None:
         self._routines.spawn("cloud-list", self._poll)
 
-    def lead(self, term: Any) -> None:
+    def set_term(self, term: Any) -> None:
         """Look at the cloud for this term; None: no longer leading."""
         self._term = term
         self._wake.set()
@@ -136,15 +140,15 @@
         self._wake.set()
         self._pool.stop()
 
-    def rent(self, effect: Rent, term: Any, entitled: Callable[[], bool]) -> None:
+    def rent(self, effect: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
         """``entitled`` is asked again right before a call that changes something:
         it may have waited for the budget until the term was over."""
         self._pool.submit(self._rent, effect, term, entitled)
 
-    def delete(self, effect: Delete, term: Any, entitled: Callable[[], bool]) -> None:
+    def delete(self, effect: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
         self._pool.submit(self._delete, effect, term, entitled)
 
-    def types(self) -> list[cloud.MachineType]:
+    def machine_types(self) -> list[cloud.MachineType]:
         """What can be rented, asked for right now; ClientError or ProtocolError without."""
         status, body = self._get("/machine_types")
         if status != 200:
@@ -155,13 +159,13 @@
         self._budget.wait()
         return self._client.request("GET", path, None, 3.0)
 
-    def _rent(self, effect: Rent, term: Any, entitled: Callable[[], bool]) -> None:
+    def _rent(self, effect: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
         names: list[str] | None = None
         refused = False
         body = encode(
             cloud.rent_body(effect.request, effect.type, effect.zone, effect.spot, effect.count)
         )
-        for attempt in range(RENT_TRIES):
+        for attempt in range(RENTAL_ATTEMPTS):
             if self._stop.wait(0.5 * attempt) or not entitled():
                 break
             try:
@@ -181,9 +185,9 @@
                     break
             except (ClientError, ProtocolError) as error:
                 log.info("rental: %s", error)
-        self._post(events.Rented(term, effect.request, names, refused))
+        self._post(events.RentalAnswered(term, effect.request, names, refused))
 
-    def _delete(self, effect: Delete, term: Any, entitled: Callable[[], bool]) -> None:
+    def _delete(self, effect: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
         ok = False
         try:
             self._budget.wait()
@@ -193,7 +197,7 @@
                 ok = status == 200
         except ClientError as error:
             log.info("deletion: %s", error)
-        self._post(events.Deleted(term, effect.machines, ok))
+        self._post(events.DeletionAnswered(term, effect.machines, ok))
 
     def _poll(self) -> None:
         types_at = -1e9
@@ -211,7 +215,7 @@
                 if self._routines.now() - types_at > 20.0:
                     status, body = self._get("/machine_types")
                     if status == 200:
-                        self._post(events.Types(term, cloud.decode_types(body)))
+                        self._post(events.MachineTypesListed(term, cloud.decode_types(body)))
                         types_at = self._routines.now()
                 pages = self._list(term)
             except (ClientError, ProtocolError) as error:
@@ -238,7 +242,7 @@
                 whole = False
                 break
             after = page.machines[-1].name
-        self._post(events.Listed(term, rows, whole))
+        self._post(events.MachinesListed(term, rows, whole))
         return pages
 
 
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -8,42 +8,42 @@
 
 from typing import Any
 
-from appleshift.contracts.actions import Push
-from appleshift.contracts.interfaces import Term
+from appleshift.contracts.actions import SendCommands
+from appleshift.contracts.interfaces import SchedulerView
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Heartbeat
 from appleshift.state.cluster_state import ASSIGNED, EXITED, Machine
 
-REORDER_S = 1.0
+RESEND_INTERVAL_S = 1.0
 """A command without visible effect is pushed again after this long."""
 MAX_COMMANDS = 400
 """A worker's answer is limited to 64 KiB; the rest follows with the next one."""
 
 
-class Orders:
+class WorkerCommands:
     """Part of the core: the machines that have something to be told."""
 
-    def __init__(self, core: Term) -> None:
-        self._core = core
-        self._due: set[int] = set()
+    def __init__(self, core: SchedulerView) -> None:
+        self._scheduler = core
+        self._due_machines: set[int] = set()
 
     def __len__(self) -> int:
-        return len(self._due)
+        return len(self._due_machines)
 
-    def due(self, machine: Machine) -> None:
+    def schedule_send(self, machine: Machine) -> None:
         """Do not wait for this machine's next report."""
-        self._due.add(machine.index)
+        self._due_machines.add(machine.index)
         if machine.fast_path_entry is not None:
             machine.fast_path_entry.known = None
 
-    def answer(self, machine: Machine) -> list[dict[str, Any]]:
+    def for_heartbeat(self, machine: Machine) -> list[dict[str, Any]]:
         """Commands for the answer to a report: all of them, for the report
         shows what has not arrived yet."""
-        self._due.discard(machine.index)
+        self._due_machines.discard(machine.index)
         return self._commands(machine, again=True)[0]
 
     @staticmethod
-    def ends(machine: Machine) -> list[dict[str, Any]]:
+    def stop_commands(machine: Machine) -> list[dict[str, Any]]:
         """Only what has to end, for an answer to a report that may be a copy: nobody may
         read it, so nothing counts as told by it."""
         ending = [
@@ -68,7 +68,7 @@
         """
         commands: list[dict[str, Any]] = []
         starts: list[tuple[str, int]] = []
-        cancel_s = self._core.settings.deployment.workers.cancel_s
+        cancel_s = self._scheduler.settings.deployment.workers.cancel_s
         for key, run in machine.runs.items():
             if len(commands) >= MAX_COMMANDS:
                 break
@@ -85,7 +85,7 @@
                     continue
                 if (
                     run.stop_grace_s is not None
-                    and self._core.now - run.stop_ordered_at > cancel_s * 0.5
+                    and self._scheduler.now - run.stop_ordered_at > cancel_s * 0.5
                 ):
                     # Too late to start anything of a cancelled job: if the
                     # start does not show itself, the machine is given up.
@@ -110,7 +110,7 @@
                 commands.append(workers.stop_command(name, attempt, 0.0))
         return commands, tuple(starts)
 
-    def pushed(
+    def commands_sent(
         self,
         name: str,
         session: int,
@@ -119,7 +119,7 @@
         report: Heartbeat | None,
     ) -> None:
         """What became of a direct command: ``done``, ``refused`` or ``unknown``."""
-        machine = self._core.cluster.machine(name)
+        machine = self._scheduler.cluster.machine(name)
         if machine is None:
             return
         machine.commands_in_flight = False
@@ -132,42 +132,42 @@
             and report.machine == name
             and report.agent_epoch >= machine.agent_epoch
         ):
-            self._core.observe(machine, report)
+            self._scheduler.reconcile(machine, report)
         # As good as an unanswered probe, or an answered one.
-        self._core.hearing.command_result(machine, outcome != "unknown")
+        self._scheduler.liveness.command_result(machine, outcome != "unknown")
         if outcome != "done":
-            machine.avoid_until = max(machine.avoid_until, self._core.now + REORDER_S)
+            machine.avoid_until = max(machine.avoid_until, self._scheduler.now + RESEND_INTERVAL_S)
 
     def send(self) -> None:
         """Tell workers at once what their next report would tell them later."""
-        if not self._due or not self._core.authority.may_answer(self._core.now):
+        if not self._due_machines or not self._scheduler.lease.may_answer(self._scheduler.now):
             return
-        for index in list(self._due):
-            machine = self._core.cluster.machines.get(index)
+        for index in list(self._due_machines):
+            machine = self._scheduler.cluster.machines.get(index)
             if (
                 machine is None
                 or machine.deletion_requested
                 or not machine.addr
                 or not machine.agent_epoch
             ):
-                self._due.discard(index)
+                self._due_machines.discard(index)
                 continue
             if machine.commands_in_flight:
                 continue
-            self._due.discard(index)
+            self._due_machines.discard(index)
             commands, starts = self._commands(machine, again=False)
             if not commands:
                 continue
             for key in starts:
                 machine.runs[key].unconfirmed_starts += 1
             machine.commands_in_flight = True
-            self._core.effects.append(
-                Push(
+            self._scheduler.actions.append(
+                SendCommands(
                     machine.name,
                     machine.addr,
                     machine.agent_epoch,
                     commands,
                     starts,
-                    self._core.token_for(machine),
+                    self._scheduler.fencing_token_for(machine),
                 )
             )
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -62,21 +62,21 @@
         while not self._stop.is_set() and self._current_term() is term:
             try:
                 revision = self._store.compare_and_swap(txn.guards, txn.changes)
-                self._post(events.Committed(term, revision))
+                self._post(events.CommitSucceeded(term, revision))
                 return
             except CompareFailedError as error:
                 if txn.probe_key and self._already_applied(txn, term):
                     return
                 log.info("deposed: guards failed on %s", error)
-                self._post(events.Deposed(term))
+                self._post(events.Fenced(term))
                 return
             except LeaseExpiredError as error:
                 log.error("the state service calls a transaction malformed: %s", error)
-                self._post(events.Deposed(term))
+                self._post(events.Fenced(term))
                 return
             except StoreError as error:
                 log.debug("commit: %s", error)
-                self._post(events.Stalled(term))
+                self._post(events.CommitStalled(term))
             self._stop.wait(RETRY_S)
 
     def _already_applied(self, txn: Transaction, term: Any) -> bool:
@@ -90,6 +90,6 @@
             value = None if item is None else item.value
             if item is None or not isinstance(value, dict) or value.get("mark") != txn.mark:
                 return False
-            self._post(events.Committed(term, item.version))
+            self._post(events.CommitSucceeded(term, item.version))
             return True
         return False
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -6,8 +6,8 @@
 from collections import deque
 from typing import Any
 
-from appleshift.contracts.actions import Inspect, Rent
-from appleshift.contracts.interfaces import Term, ZoneHealth
+from appleshift.contracts.actions import ProbeMachine, RentMachines
+from appleshift.contracts.interfaces import SchedulerView, ZoneHealth
 from appleshift.machines.health import MachineHealth
 from appleshift.node_limits.node_limits import NodeLimits, TimeBudget
 from appleshift.placement.first_fit import Shortage
@@ -36,13 +36,13 @@
 class Fleet:
     """Part of the core: shares its tables, clock and effects."""
 
-    def __init__(self, core: Term, groups: Any) -> None:
+    def __init__(self, core: SchedulerView, groups: Any) -> None:
         self.core = core
         self.cluster = core.cluster
         self.operator = core.operator
         self.started = core.now
         # Of several shares only the leader's rents, for all of them.
-        self.is_provisioning = core.sharing is None or core.sharing.number == 0
+        self.is_provisioning = core.sharing is None or core.sharing.shard == 0
         self.shortages: list[Shortage] = []
         self.types_updated_at = 0.0
         self.requests = 0
@@ -98,12 +98,12 @@
     def set_machine_types(self, types: list[MachineType]) -> None:
         self._units_by_type.clear()
         if self.cluster.set_types(types):
-            self.core.write(records.machine_type_records(self.cluster.types))
-            self.core.dirty = True
+            self.core.append_records(records.machine_type_records(self.cluster.types))
+            self.core.placement_needed = True
         self.types_updated_at = self.core.now
 
     def job_arrived(self, spec: Submission, at: float) -> None:
-        within = self.core.aims.wait_s(spec.job_class)
+        within = self.core.objectives.wait_s(spec.job_class)
         if within is not None:
             counted = self.cluster.counted_resources
             tasks = spec.tasks if counted is None else counted.max_concurrent_tasks(spec)
@@ -115,7 +115,7 @@
         if report.machine in self.cluster.deleted_machines or not report.addr:
             return None
         sharing = self.core.sharing
-        if sharing is not None and not sharing.owns(report.machine, report.type):
+        if sharing is not None and not sharing.owns_machine(report.machine, report.type):
             return None
         machine = self.cluster.add_machine(report.machine, report.type, report.zone, report.spot)
         if machine is not None:
@@ -129,10 +129,10 @@
             machine.status = UP
             machine.addr = report.addr
             machine.idle_since = self.core.now
-            self.core.journal.append(records.machine_record(self.cluster, machine))
-            self.core.dirty = True
+            self.core.log.append(records.machine_record(self.cluster, machine))
+            self.core.placement_needed = True
         if report.reclaim_in_s is not None:
-            self.core.dirty = True
+            self.core.placement_needed = True
             if not machine.draining:
                 log.info("machine %s is taken back in %.0f s", machine.name, report.reclaim_in_s)
                 machine.draining = True
@@ -146,7 +146,7 @@
             return
         if not self.is_provisioning and self.core.sharing is not None:
             # The leader's plan has the groups.
-            self.core.sharing.evicted(machine.type, machine.zone)
+            self.core.sharing.machine_evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
 
@@ -166,14 +166,14 @@
                 if run.job.gang:
                     self.core.stop_gang(run.job, grace, "notice")
                 else:
-                    self.core.stop(run, grace, "notice")
+                    self.core.stop_run(run, grace, "notice")
 
     def delete(self, machine: Machine, reason: str) -> None:
         """Delete a machine with whatever is on it; the answer is proof."""
         if machine.deletion_requested:
             return
         log.info("deleting machine %s: %s", machine.name, reason)
-        self.core.delete([machine])
+        self.core.delete_machines([machine])
 
     def machine_deleted(self, machine: Machine) -> None:
         if machine.spot and machine.reclaim_at is not None:
@@ -235,7 +235,7 @@
         if sharing is not None:
             kind = self.cluster.type_names.names[machine.type]
             given = machine.name in self.cluster.handed_off
-            machine.in_other_shard = given or not sharing.owns(machine.name, kind)
+            machine.in_other_shard = given or not sharing.owns_machine(machine.name, kind)
 
     @staticmethod
     def _may_delete(machine: Machine) -> bool:
@@ -301,7 +301,7 @@
         for machine in list(self.cluster.machines.values()):
             if machine.deletion_requested:
                 if machine.retry_deletion_at <= now:
-                    self.core.delete([machine])
+                    self.core.delete_machines([machine])
                 continue
             if machine.status == BOOTING:
                 self._check_boot(machine, now)
@@ -311,7 +311,7 @@
                 self.delete(machine, "sick and empty")
             elif machine.reclaim_at is not None:
                 self._checkpoint_before_reclaim(machine)
-        if not self.cluster.types or not self.core.authority.may_write(now):
+        if not self.cluster.types or not self.core.lease.may_write(now):
             return
         self.consolidation.step(now)
         if not self.is_provisioning:
@@ -333,7 +333,7 @@
             # Its reports may find no place: ask it. An answer says that it is up.
             if not machine.probe_in_flight:
                 machine.probe_in_flight = True
-                self.core.effects.append(Inspect(machine.name, machine.listed_addr))
+                self.core.actions.append(ProbeMachine(machine.name, machine.listed_addr))
             return
         self.delete(machine, "did not come up")
 
@@ -362,7 +362,7 @@
         if table != self._written_spot_groups and now - self._spot_groups_written_at >= 1.0:
             self._written_spot_groups = table
             self._spot_groups_written_at = now
-            self.core.journal.append([records.SPOT_GROUPS, table])
+            self.core.log.append([records.SPOT_GROUPS, table])
 
     def _review_plan(self, now: float) -> None:
         if not self.list_seen and now - self.started < 5.0:
@@ -417,9 +417,9 @@
             return
         self.requests += 1
         # The token makes the name unique among leaders, the number within one.
-        request = f"r-{self.core.token}-{self.requests}"
+        request = f"r-{self.core.fencing_token}-{self.requests}"
         self.pending_rentals[request] = (kind, zone, spot, count)
         names = self.cluster.type_names.names
-        self.core.effects.append(
-            Rent(request, names[kind], self.cluster.zones.names[zone], spot, count)
+        self.core.actions.append(
+            RentMachines(request, names[kind], self.cluster.zones.names[zone], spot, count)
         )
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -10,7 +10,7 @@
 
 import logging
 
-from appleshift.contracts.actions import Inspect
+from appleshift.contracts.actions import ProbeMachine
 from appleshift.contracts.interfaces import FleetView
 from appleshift.placement.fit import zone_room
 from appleshift.state.cluster_state import EXITED, UP, Job, Machine
@@ -122,7 +122,7 @@
                     probes -= 1
                     inspections -= 1
                     machine.probe_in_flight = True
-                    self._core.effects.append(Inspect(machine.name, machine.addr))
+                    self._core.actions.append(ProbeMachine(machine.name, machine.addr))
 
     def _silent_for_s(self, machine: Machine, now: float) -> float:
         """For how long a machine could have been heard, or shown that it hears, and did not."""
@@ -154,7 +154,7 @@
         for zone in self.unreachable_zones.keys() - zones:
             log.info("zone %s is back", self._cluster.zones.names[zone])
             del self.unreachable_zones[zone]
-            self._core.dirty = True
+            self._core.placement_needed = True
             # Most of it is heard; the rest gets its time to be, as after a
             # takeover. Once 41 machines were deleted in the second in which a
             # zone came back, for what they had not answered while it was dark.
@@ -218,7 +218,7 @@
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
-            self._core.hearing.command_result(machine, answered)
+            self._core.liveness.command_result(machine, answered)
 
     def task_failed(self, machine: Machine, job: Job) -> None:
         """Tell a faulty machine from a faulty job by who else failed where."""
@@ -238,7 +238,7 @@
         if len(recent) >= self._core.operator.sick_jobs and not machine.quarantined:
             log.info("machine %s fails tasks of several jobs: set aside", machine.name)
             machine.quarantined = True
-            self._core.dirty = True
+            self._core.placement_needed = True
 
     def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
         """Tell a slow machine from long work: by the same job's tasks elsewhere."""
@@ -249,7 +249,7 @@
             if machine.slow_count >= SLOW_TASKS and machine.slowness > SLOW_RATIO:
                 log.info("machine %s is %.1f times slower", machine.name, machine.slowness)
                 machine.quarantined = True
-                self._core.dirty = True
+                self._core.placement_needed = True
                 return
         job.completed_run_s += seconds
         job.completed_runs += 1
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -20,8 +20,8 @@
 
 import math
 
-from appleshift.contracts.actions import Inspect
-from appleshift.contracts.interfaces import Term
+from appleshift.contracts.actions import ProbeMachine
+from appleshift.contracts.interfaces import SchedulerView
 from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, Heartbeat
 from appleshift.state.cluster_state import UP, Machine
 
@@ -29,7 +29,7 @@
 class MachineLiveness:
     """Part of the fleet; owned by the core's routine."""
 
-    def __init__(self, core: Term) -> None:
+    def __init__(self, core: SchedulerView) -> None:
         self._core = core
         self._started = core.now
         self._heartbeats_lost_after_s = core.settings.deployment.workers.lease_s / 2
@@ -52,7 +52,7 @@
         machine.heartbeats_lost = False
         if not hears and report.addr and not machine.probe_in_flight:
             machine.probe_in_flight = True
-            self._core.effects.append(Inspect(machine.name, report.addr))
+            self._core.actions.append(ProbeMachine(machine.name, report.addr))
         return True
 
     @staticmethod
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -24,7 +24,7 @@
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
-from appleshift.scheduler.scheduler import Core
+from appleshift.scheduler.scheduler import Scheduler
 from appleshift.shard_replica import Holding, House
 from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import Caller, HttpClient
@@ -101,10 +101,10 @@
         self.holdings = {0: Holding(self._house)}
         self.keeper: Keeper | None = None
         self.reach = ConnectivityMonitor(
-            self.workers.reaches,
+            self.workers.is_reachable,
             lambda: self.store.is_answering,
             lambda: any(each.leadership.is_leader for each in [*self.holdings.values()]),
-            lambda: self._post(events.GiveUp()),
+            lambda: self._post(events.HandOverRequested()),
             siblings,
             routines,
         )
@@ -116,7 +116,7 @@
             siblings,
             self._post,
             lambda: self._events.qsize() / capacity.max_queued,
-            self.workers.reaches,
+            self.workers.is_reachable,
             routines,
             self.store,
             lambda: relay_assignment.audible(capacity.machines, len(self.election.relays())),
@@ -142,7 +142,7 @@
         return self.holdings[0].election
 
     @property
-    def core(self) -> Core | None:
+    def core(self) -> Scheduler | None:
         return self.holdings[0].core
 
     # -- life -----------------------------------------------------------------
@@ -192,7 +192,7 @@
         self.reach.stop()
         for holding in [*self.holdings.values()]:
             holding.stop()
-            self._post(events.Lost(holding.share))
+            self._post(events.LeadershipLost(holding.share))
         for listener in self._listeners:
             listener.stop()
         self.cloud.stop()
@@ -260,7 +260,7 @@
                 for holding in [*self.holdings.values()]:
                     holding.core = holding.term = None
                     holding.election.step_down()
-                self.cloud.lead(None)
+                self.cloud.set_term(None)
 
     def _round(self) -> None:
         holdings = [*self.holdings.values()]
@@ -298,13 +298,13 @@
         return self._listeners[-1].connections() if self._listeners else 0
 
     def _handle(self, event: events.Event) -> None:
-        if isinstance(event, events.GiveUp):
+        if isinstance(event, events.HandOverRequested):
             for holding in [*self.holdings.values()]:
                 holding.handle(event)
         else:
-            self.holdings[event.share].handle(event)
+            self.holdings[event.shard].handle(event)
 
-    def _sample(self, core: Core, now: float) -> None:
+    def _sample(self, core: Scheduler, now: float) -> None:
         """Name some workers, over the zones, that others may ask whether they reach any."""
         if now < self._next_sample:
             return
@@ -319,7 +319,7 @@
         rows = zip_longest(*(by_zone[zone] for zone in sorted(by_zone)))
         self.reach.worker_contacts.set_sample(address for row in rows for address in row if address)
 
-    def _spread(self, core: Core, now: float) -> None:
+    def _spread(self, core: Scheduler, now: float) -> None:
         """Send some machines' reports to other nodes if they are too many for this one."""
         if now < self._next_spread:
             return
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -119,5 +119,5 @@
             if not (run.job.service and settled and run.stop_grace_s is None):
                 continue
             if self._room_elsewhere(machine, [run], now):
-                self.fleet.core.stop(run, 0.0, "move")
+                self.fleet.core.stop_run(run, 0.0, "move")
                 moving += 1
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -85,7 +85,7 @@
         total, fixed = self.needed_capacity(now)
         sharing = self.fleet.core.sharing
         if sharing is not None:
-            total, fixed = sharing.sums(self.gpus, (total, fixed))
+            total, fixed = sharing.needed_capacity(self.gpus, (total, fixed))
 
         def in_steady(sums: list[float]) -> float:
             sizes = (steady.cpus, steady.gpus, steady.memory_gb)
@@ -101,7 +101,7 @@
         if self.on_demand_type < 0:
             return total, fixed
         steady = cluster.types[self.on_demand_type]
-        seats = self.fleet.core.seats
+        seats = self.fleet.core.counted_resources
         caps = seats.caps(cluster.jobs.values()) if seats is not None else {}
         for job in cluster.jobs.values():
             spec = job.spec
@@ -311,7 +311,7 @@
         for kind, zone, spot, count in fleet.pending_rentals.values():
             coming[kind, zone, spot] += count
         sharing = fleet.core.sharing
-        others = [] if sharing is None else sharing.needs(self.gpus)
+        others = [] if sharing is None else sharing.unplaceable_needs(self.gpus)
         for need in [*self.unplaceable_needs(), *others]:
             missing = need.tasks
             for place, count in coming.items():
@@ -448,6 +448,6 @@
             fleet.on_demand_spare[self.gpus] = self._capacity(False) - needed
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
-        fleet.core.delete([machine for machine in leaving if not machine.in_other_shard])
+        fleet.core.delete_machines([machine for machine in leaving if not machine.in_other_shard])
         if sharing is not None:
-            sharing.give_back([machine for machine in leaving if machine.in_other_shard])
+            sharing.return_machines([machine for machine in leaving if machine.in_other_shard])
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from appleshift.contracts.interfaces import Sharing, Term
+from appleshift.contracts.interfaces import SchedulerView, ShardingView
 from appleshift.placement.admission import refusal
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
@@ -26,10 +26,10 @@
 FINAL_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
 
 
-class Answering(Term, Protocol):
+class ReplyingScheduler(SchedulerView, Protocol):
     """The core, as what answers users sees it."""
 
-    sharing: Sharing | None
+    sharing: ShardingView | None
     is_stalled: bool
     draining: bool
 
@@ -37,22 +37,24 @@
 
     def reply_durable(self, slot: Any, status: int, body: Any) -> None: ...
 
-    def unavailable(self, slot: Any) -> None: ...
+    def reply_unavailable(self, slot: Any) -> None: ...
 
-    def arrived(self, spec: Submission) -> None: ...
+    def job_arrived(self, spec: Submission) -> None: ...
 
-    def cancelled(self, job: Job) -> None: ...
+    def job_cancelled(self, job: Job) -> None: ...
 
 
-class Requests:
+class JobRequests:
     """Users' requests, answered from the tables."""
 
-    def __init__(self, core: Answering) -> None:
+    def __init__(self, core: ReplyingScheduler) -> None:
         self._core = core
         self._cluster = core.cluster
-        self._taken = False
+        self._first_submission_logged = False
 
-    def _final(self, job_id: str, slot: Any, body: Callable[[str, str], dict[str, Any]]) -> bool:
+    def _reply_if_final(
+        self, job_id: str, slot: Any, body: Callable[[str, str], dict[str, Any]]
+    ) -> bool:
         """Answer from what is over, or say which share decides for the job."""
         final = self._cluster.final_states.get(job_id)
         if final is None:
@@ -65,40 +67,40 @@
 
     def submit(self, spec: Submission, slot: Any, wall: float, homed: bool = False) -> None:
         core, cluster = self._core, self._cluster
-        if self._final(spec.id, slot, users.state_body):
+        if self._reply_if_final(spec.id, slot, users.state_body):
             return
-        if not core.authority.may_answer(core.now):
-            core.unavailable(slot)
+        if not core.lease.may_answer(core.now):
+            core.reply_unavailable(slot)
             return
         known = cluster.job_by_id.get(spec.id)
         if known is not None:
             if known.accepted:
                 core.reply(slot, 200, users.state_body(spec.id, self.state(known)))
             else:
-                self._or_stalled(slot, 200, users.state_body(spec.id, users.PENDING))
+                self._reply_unless_stalled(slot, 200, users.state_body(spec.id, users.PENDING))
             return
-        wrong = refusal(cluster, spec, core.seats)
+        wrong = refusal(cluster, spec, core.counted_resources)
         if wrong is not None:
             # Also in an outage: nothing has to be written to refuse it.
             core.reply(slot, wrong[0], users.error_body(wrong[1]), 1 if wrong[0] == 503 else 0)
             return
-        if not self._takes_writes():
-            core.unavailable(slot)
+        if not self._can_write():
+            core.reply_unavailable(slot)
             return
         if core.sharing is not None and not homed:
             if not core.sharing.is_home(spec.id):
                 # Sent by a node that goes by an older map.
-                core.unavailable(slot)
+                core.reply_unavailable(slot)
                 return
-            share = core.sharing.decides(spec)
-            if share != core.sharing.number:
-                self._pass_on(spec, share, slot)
+            share = core.sharing.deciding_shard(spec)
+            if share != core.sharing.shard:
+                self._forward_to_shard(spec, share, slot)
                 return
-        if core.seats is None and spec.seats is not None:
+        if core.counted_resources is None and spec.seats is not None:
             spec = msgspec.structs.replace(spec, seats=None)
         job = cluster.add_job(cluster.next_job_index, spec, wall)
         record = records.job_record(job)
-        if not core.journal.fits(record):
+        if not core.log.fits(record):
             cluster.jobs.pop(job.index)
             cluster.job_by_id.pop(spec.id)
             core.reply(slot, 400, users.error_body("description too large"))
@@ -106,19 +108,19 @@
 
         def accepted() -> None:
             job.accepted = True
-            core.dirty = True
-            if not self._taken:
-                self._taken = True
+            core.placement_needed = True
+            if not self._first_submission_logged:
+                self._first_submission_logged = True
                 log.info("first submission of this term is durable")
 
         written = [record]
         if core.sharing is not None:
-            written += core.sharing.divide(job)
-        core.write(written, accepted)
+            written += core.sharing.partition_array(job)
+        core.append_records(written, accepted)
         core.reply_durable(slot, 201, users.state_body(spec.id, users.PENDING))
-        core.arrived(spec)
+        core.job_arrived(spec)
 
-    def _pass_on(self, spec: Submission, share: int, slot: Any) -> None:
+    def _forward_to_shard(self, spec: Submission, share: int, slot: Any) -> None:
         """Another share decides for this job: written down here, where its id leads.
 
         Only then may that share be asked, or two might take the same job.
@@ -129,21 +131,21 @@
         def durable() -> None:
             cluster.final_states[spec.id] = final
 
-        core.write([records.final_state_record(spec.id, final)], durable)
-        core.unsaved_finals.append((spec.id, final))
+        core.append_records([records.final_state_record(spec.id, final)], durable)
+        core.unsaved_final_states.append((spec.id, final))
         core.reply_durable(slot, 421, {"share": share})
 
-    def _takes_writes(self) -> bool:
+    def _can_write(self) -> bool:
         core = self._core
         return (
             not (core.is_stalled or core.draining)
-            and core.authority.may_write(core.now)
-            and core.journal.lag_s() < MAX_LAG_S
+            and core.lease.may_write(core.now)
+            and core.log.lag_s() < MAX_LAG_S
         )
 
-    def _or_stalled(self, slot: Any, status: int, body: dict[str, Any]) -> None:
+    def _reply_unless_stalled(self, slot: Any, status: int, body: dict[str, Any]) -> None:
         if self._core.is_stalled:
-            self._core.unavailable(slot)
+            self._core.reply_unavailable(slot)
         else:
             self._core.reply_durable(slot, status, body)
 
@@ -161,7 +163,7 @@
             return users.DONE
         return users.CANCELLED if job.cancel_durable else None
 
-    def told_by_now(self, job_id: str) -> str | None:
+    def last_reported_state(self, job_id: str) -> str | None:
         """What users have been told of a job at least: its final state, PENDING if it was
         accepted, None if it is not known. Any routine may ask: it reads single values."""
         # In this order: an ended job is among the finals before it is gone from here.
@@ -173,54 +175,54 @@
             return None
         return self._final_state(job) or users.PENDING
 
-    def _unknown(self, job_id: str, slot: Any, homed: bool, map_version: int) -> None:
+    def _reply_unknown_job(self, job_id: str, slot: Any, homed: bool, map_version: int) -> None:
         """No such job here. Only if it was asked for by the map in force, or sent on
         from where its id leads, does that mean that there is none: nodes that knew of
         no map yet, or of an older one, once told users that their jobs were unknown."""
         sharing = self._core.sharing
-        if sharing is None or homed or sharing.may_know(job_id, map_version):
+        if sharing is None or homed or sharing.is_current_map(job_id, map_version):
             self._core.reply(slot, 404, users.error_body("no such job"))
         else:
-            self._core.unavailable(slot)
+            self._core.reply_unavailable(slot)
 
     def status(self, job_id: str, slot: Any, homed: bool = False, map_version: int = 0) -> None:
         core = self._core
-        if self._final(job_id, slot, users.status_body):
+        if self._reply_if_final(job_id, slot, users.status_body):
             return
         job = self._cluster.job_by_id.get(job_id)
         if job is not None and (job.done_durable or job.cancel_durable):
             pass
-        elif not core.authority.may_answer(core.now):
-            core.unavailable(slot)
+        elif not core.lease.may_answer(core.now):
+            core.reply_unavailable(slot)
             return
         if job is None:
-            self._unknown(job_id, slot, homed, map_version)
+            self._reply_unknown_job(job_id, slot, homed, map_version)
         elif not job.accepted:
-            core.unavailable(slot)
+            core.reply_unavailable(slot)
         else:
             body = users.status_body(job_id, self.state(job), job.done_count, job.running())
             core.reply(slot, 200, body)
 
     def cancel(self, job_id: str, slot: Any, homed: bool = False, map_version: int = 0) -> None:
         core = self._core
-        if self._final(job_id, slot, users.state_body):
+        if self._reply_if_final(job_id, slot, users.state_body):
             return
-        if not core.authority.may_answer(core.now):
-            core.unavailable(slot)
+        if not core.lease.may_answer(core.now):
+            core.reply_unavailable(slot)
             return
         job = self._cluster.job_by_id.get(job_id)
         if job is None:
-            self._unknown(job_id, slot, homed, map_version)
+            self._reply_unknown_job(job_id, slot, homed, map_version)
             return
-        if not self._takes_writes():
-            core.unavailable(slot)
+        if not self._can_write():
+            core.reply_unavailable(slot)
             return
         apart = job.remote_tasks and job.status == OPEN
         if core.sharing is not None and (apart or job.cancel_requested):
             # Users are told once every share that has a portion has ended it.
-            core.sharing.call_off(job, slot)
+            core.sharing.cancel_partitioned(job, slot)
             return
         if job.status == OPEN:
             job.status = CANCELLED
-            core.journal.append(records.cancel_record(job), lambda: core.cancelled(job))
+            core.log.append(records.cancel_record(job), lambda: core.job_cancelled(job))
         core.reply_durable(slot, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from appleshift.contracts.actions import Delete, Effect, Reply
-from appleshift.contracts.interfaces import Authority, Sharing
-from appleshift.dispatch.worker_commands import REORDER_S, Orders
+from appleshift.contracts.actions import Action, DeleteMachines, Reply
+from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.dispatch.worker_commands import RESEND_INTERVAL_S, WorkerCommands
 from appleshift.heartbeat_ingest.fast_path import Express
 from appleshift.machines.fleet import Fleet
 from appleshift.machines.liveness import MachineLiveness
@@ -29,7 +29,7 @@
 from appleshift.protocol.users import Submission
 from appleshift.protocol.wire import encode
 from appleshift.protocol.workers import Heartbeat, TaskStatus
-from appleshift.scheduler.job_requests import Requests
+from appleshift.scheduler.job_requests import JobRequests
 from appleshift.state.cluster_state import (
     ASSIGNED,
     CANCELLED,
@@ -51,81 +51,81 @@
 
 log = logging.getLogger(__name__)
 
-DRIFT = 1.002
+CLOCK_DRIFT = 1.002
 """Steady clocks differ by a fraction of this; all bounds on leases count it."""
 LEASE_MARGIN_S = 0.25
-PLACE_SHARE = 0.5
-TICK_SHARE = 0.3
+PLACEMENT_TIME_SHARE = 0.5
+TICK_TIME_SHARE = 0.3
 """Shares of the time that passes and the look at the fleet may take. Reports,
 on which leases depend, and users' requests are handled between them."""
-PLACE_GAP_S = 0.02
-PLACE_GAP_PER_MACHINE_S = 1e-4
+PLACEMENT_INTERVAL_S = 0.02
+PLACEMENT_INTERVAL_PER_MACHINE_S = 1e-4
 """A pass looks at every machine: what makes room in between shares the next one."""
-PLACE_LAG_S = 1.0
+MAX_LOG_LAG_FOR_PLACEMENT_S = 1.0
 SNAPSHOT_AFTER_S = 5.0
 """What a leader found of the log counts as its own, or a log over which leaders change would
 grow for ever; but users and workers come first when it begins."""
-SNAPSHOT_LAG_S = 0.1
+MAX_LOG_LAG_FOR_SNAPSHOT_S = 0.1
 """Placement, then snapshots, leave the log to what users wait for."""
 
 
-class Core:
+class Scheduler:
     """Jobs, machines and every decision of one term."""
 
     def __init__(
         self,
         settings: Settings,
         operator: OperatorSettings,
-        authority: Authority,
+        authority: LeaseHolder,
         token: int,
         replay: LogReplayer,
         journal: WriteAheadLog,
         clock: Callable[[], float],
         wall: float,
         seats: Seats | None = None,
-        sharing: Sharing | None = None,
+        sharing: ShardingView | None = None,
     ) -> None:
         self.settings = settings
         self.operator = operator
-        self.authority = authority
-        self.token = token
+        self.lease = authority
+        self.fencing_token = token
         self.cluster: ClusterState = replay.cluster
-        self.journal = journal
-        self.seats = seats
+        self.log = journal
+        self.counted_resources = seats
         self.sharing = sharing
         # About to be handed over: nothing new is accepted or started.
         self.draining = False
-        self.effects: deque[Effect] = deque()
+        self.actions: deque[Action] = deque()
         # Only for how long a duty took; what is decided goes by ``now``.
         self.clock = clock
         self.now = now = clock()
         self.started = now
         self.wall = wall
-        self.dirty = True
+        self.placement_needed = True
         self.placed_at = 0.0
         self.next_tick = now
-        self._placing = TimeBudget(clock, PLACE_SHARE)
-        self._ticking = TimeBudget(clock, TICK_SHARE)
-        self.unsaved_finals = list(replay.unsaved_final_states)
-        self.worker_lease_s = settings.deployment.workers.lease_s * DRIFT + LEASE_MARGIN_S
-        self.orders = Orders(self)
-        self.aims = Aims(settings.deployment.objectives)
-        self._doomed: list[str] = []
-        self.express = Express()
-        self._waiting: dict[int, Any] = {}
+        self._placing = TimeBudget(clock, PLACEMENT_TIME_SHARE)
+        self._ticking = TimeBudget(clock, TICK_TIME_SHARE)
+        self.unsaved_final_states = list(replay.unsaved_final_states)
+        self.worker_lease_s = settings.deployment.workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+        self.commands = WorkerCommands(self)
+        self.objectives = Aims(settings.deployment.objectives)
+        self._pending_deletions: list[str] = []
+        self.fast_path = Express()
+        self._waiting_replies: dict[int, Any] = {}
         self.is_stalled = False
-        self.hearing = MachineLiveness(self)
+        self.liveness = MachineLiveness(self)
         self.fleet = Fleet(self, replay.groups)
-        self.requests = Requests(self)
+        self.job_requests = JobRequests(self)
         if sharing is not None:
-            sharing.serve(self)
+            sharing.attach(self)
         self._restore(replay, wall)
 
     def _restore(self, replay: LogReplayer, wall: float) -> None:
         """Known assignments stay where they are until there is proof."""
         cluster = self.cluster
-        if self.seats is not None:
-            self.seats.adopt()
+        if self.counted_resources is not None:
+            self.counted_resources.adopt()
         for (index, task), (attempt, name, session) in replay.task_locations.items():
             job = cluster.jobs.get(index)
             machine = cluster.machine(name)
@@ -138,8 +138,8 @@
             run = cluster.assign(job, task, attempt, machine, session)
             run.assignment_durable = run.start_sent = True
             run.ordered_this_term = False
-        if self.seats is not None:
-            self.seats.recovered()
+        if self.counted_resources is not None:
+            self.counted_resources.recovered()
         for submitted, spec in sorted(replay.arrivals, key=lambda entry: entry[0]):
             # What arrived under the leader before still says how much comes.
             self.fleet.job_arrived(spec, self.now - max(0.0, wall - submitted))
@@ -158,61 +158,61 @@
 
     def reply(self, slot: Any, status: int, body: Any, retry_after: int = 0) -> None:
         if slot is not None:
-            self._waiting.pop(id(slot), None)
-            self.effects.append(Reply(slot, status, body, retry_after))
+            self._waiting_replies.pop(id(slot), None)
+            self.actions.append(Reply(slot, status, body, retry_after))
 
-    def hold(self, slot: Any) -> None:
+    def hold_reply(self, slot: Any) -> None:
         """Whoever waits there is answered later, by ``settle`` or because all stalls."""
-        self._waiting[id(slot)] = slot
+        self._waiting_replies[id(slot)] = slot
 
-    def settle(self, slot: Any, status: int, body: Any) -> None:
-        if self._waiting.get(id(slot)) is slot:
+    def answer_held(self, slot: Any, status: int, body: Any) -> None:
+        if self._waiting_replies.get(id(slot)) is slot:
             self.reply(slot, status, body)
 
     def reply_durable(self, slot: Any, status: int, body: Any) -> None:
         """Answer once all that is written so far is durable, unless that stalls."""
-        self.hold(slot)
-        self.journal.append(None, lambda: self.settle(slot, status, body))
+        self.hold_reply(slot)
+        self.log.append(None, lambda: self.answer_held(slot, status, body))
 
-    def committed(self, revision: int) -> None:
+    def commit_succeeded(self, revision: int) -> None:
         self.is_stalled = False
-        self.journal.committed(revision)
+        self.log.committed(revision)
 
-    def stalled(self) -> None:
+    def commit_stalled(self) -> None:
         """The state service does not take writes: nobody is kept waiting for it.
 
         What was written down may become durable yet; whoever asks again then
         learns so.
         """
         self.is_stalled = True
-        for slot in list(self._waiting.values()):
-            self.unavailable(slot)
+        for slot in list(self._waiting_replies.values()):
+            self.reply_unavailable(slot)
 
-    def abandon(self) -> None:
+    def end_term(self) -> None:
         """The term is over: whoever waits is told to ask again."""
-        for slot in list(self._waiting.values()):
-            self.unavailable(slot)
+        for slot in list(self._waiting_replies.values()):
+            self.reply_unavailable(slot)
 
-    def unavailable(self, slot: Any) -> None:
+    def reply_unavailable(self, slot: Any) -> None:
         self.reply(slot, 503, users.error_body("not available right now"), 1)
 
-    def write(self, some: list[Record], then: Callable[[], None] | None = None) -> None:
+    def append_records(self, some: list[Record], then: Callable[[], None] | None = None) -> None:
         """Append records; ``then`` runs once all of them are durable."""
         for record in some[:-1]:
-            self.journal.append(record)
-        self.journal.append(some[-1] if some else None, then)
+            self.log.append(record)
+        self.log.append(some[-1] if some else None, then)
 
-    def take_effects(self) -> list[Effect]:
-        taken = list(self.effects)
-        self.effects.clear()
+    def take_actions(self) -> list[Action]:
+        taken = list(self.actions)
+        self.actions.clear()
         return taken
 
     # -- users ------------------------------------------------------------------
 
-    def arrived(self, spec: Submission) -> None:
+    def job_arrived(self, spec: Submission) -> None:
         self.fleet.job_arrived(spec, self.now)
 
-    def cancelled(self, job: Job) -> None:
+    def job_cancelled(self, job: Job) -> None:
         """The cancellation is durable: everything of the job ends."""
         job.cancel_durable = True
         self.stop_job(job)
@@ -220,7 +220,7 @@
 
     def stop_job(self, job: Job) -> None:
         for run in list(job.runs.values()):
-            self.stop(run, 0.0, "cancel")
+            self.stop_run(run, 0.0, "cancel")
 
     def _maybe_end(self, job: Job) -> None:
         """Shrink a job to its final state once nothing of it can run."""
@@ -228,13 +228,13 @@
             return
         if not (job.done_durable or job.cancel_durable):
             return
-        self.journal.append(records.end_record(job))
-        self.unsaved_finals.append((job.key, job.status))
+        self.log.append(records.end_record(job))
+        self.unsaved_final_states.append((job.key, job.status))
         self.cluster.retire(job)
 
     # -- tasks --------------------------------------------------------------------
 
-    def stop(self, run: TaskRun, grace: float, reason: str) -> None:
+    def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
         """Order a task to stop; a sharper order replaces a gentler one."""
         if run.state == EXITED or (run.stop_grace_s is not None and run.stop_grace_s <= grace):
             return
@@ -242,19 +242,19 @@
             # Never sent to the worker: nothing can be there.
             run.state = EXITED
             run.machine.runs.pop((run.name, run.attempt), None)
-            self.free([run], exited=False)
+            self.free_runs([run], exited=False)
             return
         run.stop_grace_s = grace
         log.debug("stopping %s: %s", run.name, reason)
         run.stop_ordered_at = self.now
-        self.orders.due(run.machine)
+        self.commands.schedule_send(run.machine)
 
     def stop_gang(self, job: Job, grace: float, reason: str) -> None:
         """All tasks of a gang are told in the same moment, or the save fails."""
         for run in list(job.runs.values()):
-            self.stop(run, grace, reason)
+            self.stop_run(run, grace, reason)
 
-    def free(self, some: list[TaskRun], exited: bool) -> None:
+    def free_runs(self, some: list[TaskRun], exited: bool) -> None:
         """These tasks are certainly off their machines: write it down."""
         by_job: dict[int, list[TaskRun]] = {}
         for run in some:
@@ -272,21 +272,21 @@
                 self._maybe_end(job)
 
             tasks = [run.task for run in runs]
-            self.write(records.free_records(job, tasks, self.wall), durable)
+            self.append_records(records.free_records(job, tasks, self.wall), durable)
             if job.gang and job.status == OPEN:
                 # The rest cannot go on alone; the next attempt starts whole.
                 self.stop_gang(job, 0.0, "gang")
-        self.dirty = True
+        self.placement_needed = True
 
-    def finish(self, some: list[TaskRun]) -> None:
+    def finish_runs(self, some: list[TaskRun]) -> None:
         """These tasks completed: their results count from the record on."""
         by_job: dict[int, list[TaskRun]] = {}
         for run in some:
             by_job.setdefault(run.job.index, []).append(run)
         for runs in by_job.values():
-            self.complete(runs[0].job, [run.task for run in runs], runs)
+            self.complete_tasks(runs[0].job, [run.task for run in runs], runs)
 
-    def complete(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
+    def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
         """These tasks are done, here (``runs``) or in another share."""
         done = [task for task in tasks if self.cluster.finish_task(job, task)]
         if job.gang and done:
@@ -306,62 +306,70 @@
             if whole and job.status == FINISHED:
                 job.done_durable = True
                 for run in [] if job.gang else list(job.runs.values()):
-                    self.stop(run, 0.0, "over")
+                    self.stop_run(run, 0.0, "over")
             self._maybe_end(job)
 
-        self.write(records.done_records(job, done, self.wall), durable)
-        self.dirty = True
+        self.append_records(records.done_records(job, done, self.wall), durable)
+        self.placement_needed = True
 
     # -- workers ------------------------------------------------------------------
 
-    def report(self, report: Heartbeat, slot: Any, tasks: bytes | None = None) -> None:
+    def heartbeat_received(
+        self, heartbeat: Heartbeat, slot: Any, tasks: bytes | None = None
+    ) -> None:
         """A worker reports: take it in, renew its lease, give it its orders.
 
         ``tasks``: its tasks as they were sent, by which the next one is known to
         say the same.
         """
-        if not self.authority.may_answer(self.now):
+        if not self.lease.may_answer(self.now):
             self.reply(slot, 503, users.error_body("not leading"))
             return
-        given = self.cluster.handed_off.get(report.machine)
+        given = self.cluster.handed_off.get(heartbeat.machine)
         if given is not None:
             self.reply(slot, 421, {"share": given.shard})
             return
-        known = self.cluster.machine(report.machine)
-        if report.fencing_token > (self.token if known is None else self.token_for(known)):
+        known = self.cluster.machine(heartbeat.machine)
+        if heartbeat.fencing_token > (
+            self.fencing_token if known is None else self.fencing_token_for(known)
+        ):
             # Somebody was elected after us, whatever our clock says.
             self.reply(slot, 421, workers.redirect(None))
             return
-        machine = self._machine_of(report)
-        if machine is None or machine.in_other_shard or report.agent_epoch < machine.agent_epoch:
+        machine = self._machine_of(heartbeat)
+        if machine is None or machine.in_other_shard or heartbeat.agent_epoch < machine.agent_epoch:
             self.reply(slot, 503, users.error_body("machine not known here"))
             return
-        token = self.token_for(machine)
-        self.hearing.apply_fast_path(machine)
-        if not self.hearing.is_new_heartbeat(machine, report):
+        token = self.fencing_token_for(machine)
+        self.liveness.apply_fast_path(machine)
+        if not self.liveness.is_new_heartbeat(machine, heartbeat):
             # A copy, or the original after its copy: the lease that its answer may renew
             # was counted with the first one. Whoever renews it tells what has to end.
-            self.reply(slot, 200, workers.heartbeat_response(token, self.orders.ends(machine)))
+            self.reply(
+                slot, 200, workers.heartbeat_response(token, self.commands.stop_commands(machine))
+            )
             return
-        self.observe(machine, report)
+        self.reconcile(machine, heartbeat)
         # The worker counts its lease from when it sent this report, which
         # is earlier than now: this bound is on the safe side.
         machine.lease_until = self.now + self.worker_lease_s
-        commands = self.orders.answer(machine)
+        commands = self.commands.for_heartbeat(machine)
         answer = workers.heartbeat_response(token, commands)
         self.reply(slot, 200, answer)
-        newest = report.seq == machine.seq and report.fencing_token == token
+        newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
         if tasks is not None and newest and not commands and machine.needs_no_commands():
             same = (machine.agent_epoch, token, tasks, encode(answer))
-            machine.fast_path_entry = self.express.learn(machine.name, same, self.now, report.seq)
+            machine.fast_path_entry = self.fast_path.learn(
+                machine.name, same, self.now, heartbeat.seq
+            )
 
-    def token_for(self, machine: Machine) -> int:
+    def fencing_token_for(self, machine: Machine) -> int:
         """What its worker is told: never less than it was told in another share.
 
         Nobody else gives it orders with that token any more: its former holder
         wrote down that it gave it away, and any later one there reads so.
         """
-        return max(self.token, machine.min_fencing_token)
+        return max(self.fencing_token, machine.min_fencing_token)
 
     def _machine_of(self, report: Heartbeat) -> Machine | None:
         machine = self.cluster.machine(report.machine)
@@ -369,33 +377,33 @@
             machine = self.fleet.adopt(report)
         return machine
 
-    def observe(self, machine: Machine, report: Heartbeat) -> None:
-        if report.agent_epoch > machine.agent_epoch:
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        if heartbeat.agent_epoch > machine.agent_epoch:
             if machine.agent_epoch:
-                log.info("machine %s moved to session %d", machine.name, report.agent_epoch)
-            self.session_over(machine)
-            machine.agent_epoch = report.agent_epoch
+                log.info("machine %s moved to session %d", machine.name, heartbeat.agent_epoch)
+            self.agent_epoch_ended(machine)
+            machine.agent_epoch = heartbeat.agent_epoch
             machine.seq = -1
             # The session's own lease runs from its begin, which is earlier than
             # now. The last session's end must not be taken for this one's.
             machine.lease_until = max(machine.lease_until, self.now + self.worker_lease_s)
-        if report.seq <= machine.seq:
+        if heartbeat.seq <= machine.seq:
             return
-        machine.seq = report.seq
+        machine.seq = heartbeat.seq
         machine.last_heard = self.now
-        self.fleet.heartbeat_received(machine, report)
-        fenced = report.fencing_token >= self.token_for(machine)
+        self.fleet.heartbeat_received(machine, heartbeat)
+        fenced = heartbeat.fencing_token >= self.fencing_token_for(machine)
         seen: set[tuple[str, int]] = set()
         done: list[TaskRun] = []
         gone: list[TaskRun] = []
-        for entry in report.tasks:
+        for entry in heartbeat.tasks:
             key = (entry.task, entry.attempt)
             seen.add(key)
             run = machine.runs.get(key)
             if run is None:
-                self._stray(machine, entry)
+                self._unknown_run_reported(machine, entry)
             else:
-                self._progress(machine, run, entry, done, gone)
+                self._update_run(machine, run, entry, done, gone)
         for key, run in list(machine.runs.items()):
             if key in seen:
                 continue
@@ -414,13 +422,13 @@
         for key in [key for key in machine.unknown_runs if key not in seen]:
             del machine.unknown_runs[key]
         if done:
-            self.finish(done)
+            self.finish_runs(done)
         if gone:
-            self.free(gone, exited=True)
+            self.free_runs(gone, exited=True)
         if machine.idle_since == 0.0 and machine.empty():
             machine.idle_since = self.now
 
-    def _progress(
+    def _update_run(
         self,
         machine: Machine,
         run: TaskRun,
@@ -436,7 +444,7 @@
             return
         run.state = state
         if before == ASSIGNED and run.stop_grace_s is not None:
-            self.orders.due(machine)
+            self.commands.schedule_send(machine)
         if state in (RUNNING, WAITING) and run.running_since == 0.0:
             run.running_since = self.now
             spec = run.job.spec
@@ -459,16 +467,16 @@
             run.job.avoided_machines[machine.index] = self.now + (1.0 if why == "unknown" else 3.0)
         gone.append(run)
 
-    def _stray(self, machine: Machine, entry: TaskStatus) -> None:
+    def _unknown_run_reported(self, machine: Machine, entry: TaskStatus) -> None:
         """An attempt that is none of ours: end it, or let it be forgotten."""
         key = (entry.task, entry.attempt)
         exited = entry.state == workers.EXITED
         if key not in machine.unknown_runs:
             log.info("stray %s attempt %d on %s", entry.task, entry.attempt, machine.name)
-            self.orders.due(machine)
+            self.commands.schedule_send(machine)
         machine.unknown_runs[key] = exited
 
-    def session_over(self, machine: Machine) -> None:
+    def agent_epoch_ended(self, machine: Machine) -> None:
         """The worker killed and forgot all tasks of its session."""
         if machine.fast_path_entry is not None:
             machine.fast_path_entry.known = None
@@ -480,20 +488,20 @@
             run.state = EXITED
         if freed:
             log.info("machine %s lost %d tasks", machine.name, len(freed))
-            self.free(freed, exited=False)
+            self.free_runs(freed, exited=False)
         machine.idle_since = self.now
 
-    def probed(self, name: str, report: Heartbeat | None) -> None:
+    def probe_answered(self, name: str, heartbeat: Heartbeat | None) -> None:
         """A silent worker answered a probe, or did not."""
-        self.fleet.health.probed(name, report is not None)
+        self.fleet.health.probed(name, heartbeat is not None)
         machine = self.cluster.machine(name)
-        if machine is None or report is None:
+        if machine is None or heartbeat is None:
             return
         if machine.in_other_shard:
             # Up, though its holder has not said so: no late boot.
             machine.rented_at = self.now
-        elif report.agent_epoch >= machine.agent_epoch:
-            self.observe(machine, report)
+        elif heartbeat.agent_epoch >= machine.agent_epoch:
+            self.reconcile(machine, heartbeat)
 
     # -- time -----------------------------------------------------------------------
 
@@ -504,58 +512,58 @@
             self.next_tick = now + 0.25
             with self._ticking:
                 self._tick()
-        gap = PLACE_GAP_S + PLACE_GAP_PER_MACHINE_S * len(self.cluster.machines)
-        wanted = self.dirty and now - self.placed_at >= gap and self._placing.due()
-        if wanted and not self.draining and self.authority.may_write(now):
+        gap = PLACEMENT_INTERVAL_S + PLACEMENT_INTERVAL_PER_MACHINE_S * len(self.cluster.machines)
+        wanted = self.placement_needed and now - self.placed_at >= gap and self._placing.due()
+        if wanted and not self.draining and self.lease.may_write(now):
             with self._placing:
                 self._place()
-        if self._doomed:
+        if self._pending_deletions:
             self._flush_deletions()
-        self.orders.send()
-        if self.seats is not None and self.seats.step(now, wall):
-            self.dirty = True
+        self.commands.send()
+        if self.counted_resources is not None and self.counted_resources.step(now, wall):
+            self.placement_needed = True
         if self.sharing is not None:
             self.sharing.step(now)
 
     def _tick(self) -> None:
         for machine in list(self.cluster.machines.values()):
-            self.hearing.apply_fast_path(machine)
+            self.liveness.apply_fast_path(machine)
             # A node that slept for 23 s judged 600 leases in its first moment, for nobody.
             over = machine.runs and machine.lease_until < self.now and machine.agent_epoch
-            if over and self.authority.may_answer(self.now):
+            if over and self.lease.may_answer(self.now):
                 log.info("lease of machine %s ran out", machine.name)
-                self.session_over(machine)
+                self.agent_epoch_ended(machine)
         cancel_s = self.settings.deployment.workers.cancel_s
         for job in self.cluster.jobs.values():
             if not job.runs or not (job.cancel_durable or job.done_durable):
                 continue
             for run in list(job.runs.values()):
                 if run.stop_grace_s is None:
-                    self.stop(run, 0.0, "over")
+                    self.stop_run(run, 0.0, "over")
                 elif self.now - run.stop_ordered_at > cancel_s * 0.6:
                     self.fleet.delete(run.machine, "a cancelled task does not end")
-                elif run.machine.last_heard > self.now - 3 * REORDER_S:
-                    self.orders.due(run.machine)
-        if self.authority.may_answer(self.now):
+                elif run.machine.last_heard > self.now - 3 * RESEND_INTERVAL_S:
+                    self.commands.schedule_send(run.machine)
+        if self.lease.may_answer(self.now):
             # A leader that was cut off knows nothing of its machines: once one
             # ordered 425 deletions, which arrived when the cut was over.
             self.fleet.tick(self.now)
         if self.fleet.shortages:
             # Room also comes back with time: pauses and backoffs end.
-            self.dirty = True
+            self.placement_needed = True
         self._maybe_snapshot()
 
     def _maybe_snapshot(self) -> None:
-        journal = self.journal
+        journal = self.log
         if journal.snapshotting or journal.log_bytes < self.operator.snapshot_kb * 1024:
             return
         if self.now - self.started < SNAPSHOT_AFTER_S:
             return
-        if journal.lag_s() > SNAPSHOT_LAG_S or not self.authority.may_write(self.now):
+        if journal.lag_s() > MAX_LOG_LAG_FOR_SNAPSHOT_S or not self.lease.may_write(self.now):
             return
-        finals: list[list[Any]] = [list(entry) for entry in self.unsaved_finals]
-        self.unsaved_finals = []
-        seats = self.seats
+        finals: list[list[Any]] = [list(entry) for entry in self.unsaved_final_states]
+        self.unsaved_final_states = []
+        seats = self.counted_resources
         counted = None if seats is None else seats.live()
         live = records.live_records(self.cluster, self.fleet.spot_group_names(), counted)
         log.info("snapshot: %d records, %d ended jobs", len(live), len(finals))
@@ -566,15 +574,15 @@
 
     def _place(self) -> None:
         """One placement pass; starts go out once they are durable."""
-        self.dirty = False
+        self.placement_needed = False
         self.placed_at = self.now
-        if self.journal.lag_s() > PLACE_LAG_S:
-            self.dirty = True
+        if self.log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
+            self.placement_needed = True
             return
         workers_settings = self.settings.deployment.workers
         heard_after = self.now - 2.5 * workers_settings.report_s - 0.5
-        seats = None if self.seats is None else self.seats.begin(self.now)
-        placer = Placer(self.cluster, self.now, self.wall, heard_after, self.aims, seats)
+        seats = None if self.counted_resources is None else self.counted_resources.begin(self.now)
+        placer = Placer(self.cluster, self.now, self.wall, heard_after, self.objectives, seats)
         result = placer.run(self.operator.preempt)
         for placement in result.placements:
             job, machine = placement.job, placement.machine
@@ -584,9 +592,9 @@
             def durable(runs: list[TaskRun] = runs, machine: Machine = machine) -> None:
                 for run in runs:
                     run.assignment_durable = True
-                self.orders.due(machine)
+                self.commands.schedule_send(machine)
 
-            self.write(
+            self.append_records(
                 records.assign_records(
                     job, placement.attempt, machine, machine.agent_epoch, placement.tasks, self.wall
                 ),
@@ -598,14 +606,14 @@
             if run.job.gang:
                 self.stop_gang(run.job, grace, "preempt")
             else:
-                self.stop(run, grace, "preempt")
+                self.stop_run(run, grace, "preempt")
         self.fleet.shortages = result.shortages
         # Whoever waits for room that is being made is looked at again soon.
-        self.dirty = self.dirty or result.held > 0
+        self.placement_needed = self.placement_needed or result.held > 0
 
     # -- the cloud's answers -----------------------------------------------------------
 
-    def deleted(self, names: tuple[str, ...], ok: bool) -> None:
+    def deletion_answered(self, names: tuple[str, ...], ok: bool) -> None:
         """A deletion answered 200 proves that machine and tasks are gone."""
         for name in names:
             machine = self.cluster.machine(name)
@@ -614,22 +622,25 @@
             if not ok:
                 machine.retry_deletion_at = self.now + 1.0
                 continue
-            self.session_over(machine)
+            self.agent_epoch_ended(machine)
             self.cluster.drop_machine(machine)
-            self.express.cells.pop(name, None)
+            self.fast_path.cells.pop(name, None)
             self.fleet.machine_deleted(machine)
             if machine.addr:
-                self.journal.append(records.machine_deleted_record(machine))
-        self.dirty = True
+                self.log.append(records.machine_deleted_record(machine))
+        self.placement_needed = True
 
-    def delete(self, machines: list[Machine]) -> None:
+    def delete_machines(self, machines: list[Machine]) -> None:
         """Give machines back; those of one step share a call, for calls are few."""
         for machine in machines:
             machine.deletion_requested = True
             machine.retry_deletion_at = float("inf")
-        self._doomed += [machine.name for machine in machines]
+        self._pending_deletions += [machine.name for machine in machines]
 
     def _flush_deletions(self) -> None:
-        while self._doomed and self.authority.may_answer(self.now):
-            some, self._doomed = self._doomed[: cloud.MAX_DELETE], self._doomed[cloud.MAX_DELETE :]
-            self.effects.append(Delete(tuple(some)))
+        while self._pending_deletions and self.lease.may_answer(self.now):
+            some, self._pending_deletions = (
+                self._pending_deletions[: cloud.MAX_DELETE],
+                self._pending_deletions[cloud.MAX_DELETE :],
+            )
+            self.actions.append(DeleteMachines(tuple(some)))
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -9,15 +9,15 @@
 
 from appleshift.contracts import events
 from appleshift.contracts.actions import (
-    CallShare,
-    Delete,
-    Effect,
-    Inspect,
-    Push,
-    Rent,
+    Action,
+    CallShard,
+    DeleteMachines,
+    ProbeMachine,
+    RentMachines,
     Reply,
+    SendCommands,
 )
-from appleshift.contracts.interfaces import Sharing
+from appleshift.contracts.interfaces import ShardingView
 from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
 from appleshift.leader_election.election import LeaderElection, LeaderTerm
 from appleshift.leader_election.leader_lease import LeaderLease
@@ -29,7 +29,7 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.wire import ProtocolError
 from appleshift.protocol.workers import HeartbeatHeader
-from appleshift.scheduler.scheduler import Core
+from appleshift.scheduler.scheduler import Scheduler
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import (
     CompareFailedError,
@@ -54,7 +54,7 @@
 class Keeper(Protocol):
     """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
-    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> Sharing | None:
+    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> ShardingView | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -62,7 +62,7 @@
         """
         ...
 
-    def call(self, effect: CallShare, term: Any) -> None: ...
+    def call(self, effect: CallShard, term: Any) -> None: ...
 
 
 @dataclass
@@ -108,8 +108,8 @@
             house.siblings,
             self.leadership,
             operator,
-            on_won=lambda term: house.post(events.Won(term)),
-            on_lost=lambda: house.post(events.Lost(share)),
+            on_won=lambda term: house.post(events.ElectionWon(term)),
+            on_lost=lambda: house.post(events.LeadershipLost(share)),
             process_mark=house.mark if not share else f"{house.mark}.s{share}",
             routines=routines,
             shard=share,
@@ -118,7 +118,7 @@
             candidacy_delay_s=hold_back if share else lambda: house.held_back(),
             process_id=house.mark,
         )
-        self.core: Core | None = None
+        self.core: Scheduler | None = None
         self.served: Served | None = None
         self.term: LeaderTerm | None = None
         self.committer = LogCommitter(
@@ -141,73 +141,77 @@
     # -- events ---------------------------------------------------------------------
 
     def handle(self, event: events.Event) -> None:
-        if isinstance(event, events.GiveUp):
+        if isinstance(event, events.HandOverRequested):
             self.hand_over()
-        elif isinstance(event, events.Request):
+        elif isinstance(event, events.ApiRequest):
             self._ask(event)
-        elif isinstance(event, events.Won):
+        elif isinstance(event, events.ElectionWon):
             self._begin(event.term)
-        elif isinstance(event, events.Lost):
+        elif isinstance(event, events.LeadershipLost):
             self.end()
         elif event.term is self.term and self.core is not None:
             # What comes from an earlier term is void.
             self._outcome(self.core, event)
 
-    def _ask(self, event: events.Request) -> None:
+    def _ask(self, event: events.ApiRequest) -> None:
         core = self.core
         if core is None:
-            event.slot.put((503, users.error_body("nobody holds this share yet"), 1))
+            event.reply_to.put((503, users.error_body("nobody holds this share yet"), 1))
             return
         core.now = self.house.routines.now()
-        if isinstance(event, events.Beat):
-            core.report(event.report, event.slot, event.tasks)
-        elif isinstance(event, events.Submit):
+        if isinstance(event, events.HeartbeatReceived):
+            core.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
+        elif isinstance(event, events.SubmitJob):
             wall = self.house.routines.wall()
-            core.requests.submit(event.spec, event.slot, wall, event.homed)
-        elif isinstance(event, events.Status):
-            core.requests.status(event.job_id, event.slot, event.homed, event.map_version)
-        elif isinstance(event, events.Cancel):
-            core.requests.cancel(event.job_id, event.slot, event.homed, event.map_version)
-        elif isinstance(event, events.SeatsLook):
-            core.reply(event.slot, *_look(core.seats, event.after, core.now))
-        elif isinstance(event, events.ShareAsk) and core.sharing is not None:
-            core.sharing.asked(event.message, event.slot)
+            core.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
+        elif isinstance(event, events.GetJobStatus):
+            core.job_requests.status(
+                event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
+            )
+        elif isinstance(event, events.CancelJob):
+            core.job_requests.cancel(
+                event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
+            )
+        elif isinstance(event, events.GetCountedResources):
+            core.reply(event.reply_to, *_look(core.counted_resources, event.after, core.now))
+        elif isinstance(event, events.ShardRequestReceived) and core.sharing is not None:
+            core.sharing.request_received(event.message, event.reply_to)
         else:
-            core.unavailable(event.slot)
+            core.reply_unavailable(event.reply_to)
 
-    def _outcome(self, core: Core, event: events.Outcome) -> None:
+    def _outcome(self, core: Scheduler, event: events.TermEvent) -> None:
         core.now = self.house.routines.now()
-        if isinstance(event, events.Committed):
-            core.committed(event.revision)
-        elif isinstance(event, events.Pushed):
-            core.orders.pushed(
-                event.machine, event.session, event.starts, event.outcome, event.report
+        if isinstance(event, events.CommitSucceeded):
+            core.commit_succeeded(event.revision)
+        elif isinstance(event, events.CommandsSent):
+            core.commands.commands_sent(
+                event.machine, event.agent_epoch, event.starts, event.outcome, event.heartbeat
             )
-        elif isinstance(event, events.Probed):
-            core.probed(event.machine, event.report)
-        elif isinstance(event, events.Stalled):
-            core.stalled()
-        elif isinstance(event, events.Deposed):
+        elif isinstance(event, events.ProbeAnswered):
+            core.probe_answered(event.machine, event.heartbeat)
+        elif isinstance(event, events.CommitStalled):
+            core.commit_stalled()
+        elif isinstance(event, events.Fenced):
             self.end()
             self.election.step_down()
-        elif isinstance(event, events.Types):
+        elif isinstance(event, events.MachineTypesListed):
             core.fleet.set_machine_types(event.types)
-        elif isinstance(event, events.Listed):
-            core.fleet.machines_listed(event.machines, event.whole)
-        elif isinstance(event, events.Rented):
+        elif isinstance(event, events.MachinesListed):
+            core.fleet.machines_listed(event.machines, event.complete)
+        elif isinstance(event, events.RentalAnswered):
             core.fleet.rental_answered(event.request, event.machines, event.refused)
-        elif isinstance(event, events.Deleted):
-            core.deleted(event.machines, event.ok)
-        elif isinstance(event, events.ShareTold) and core.sharing is not None:
-            core.sharing.told(event.asked, event.answer)
-        elif isinstance(event, events.LicenceTold) and core.seats is not None:
-            told = core.seats.told(event.resource, event.serial, event.standing, core.now)
-            core.dirty = told or core.dirty
+        elif isinstance(event, events.DeletionAnswered):
+            core.deletion_answered(event.machines, event.ok)
+        elif isinstance(event, events.ShardReplyReceived) and core.sharing is not None:
+            core.sharing.reply_received(event.target_shard, event.reply)
+        elif isinstance(event, events.LicenseServerAnswered) and core.counted_resources is not None:
+            told = core.counted_resources.told(event.resource, event.serial, event.reply, core.now)
+            core.placement_needed = told or core.placement_needed
 
     # -- what it decides ------------------------------------------------------------
 
     def busy(self) -> bool:
-        return self.core is not None and (self.core.dirty or self.core.journal.backlog() > 0)
+        return self.core is not None and (self.core.placement_needed or self.core.log.backlog() > 0)
 
     def decide(self) -> None:
         core, routines = self.core, self.house.routines
@@ -218,15 +222,15 @@
         if self.served is not None:
             self.served.step(now, routines.wall())
         if self.leadership.may_write(now):
-            txn = core.journal.next_transaction(now)
+            txn = core.log.next_transaction(now)
             if txn is not None:
                 self.committer.send(txn, self.term)
-        if core.seats is not None and self.leadership.may_answer(now):
-            self._ask_servers(core.seats, now)
-        for effect in core.take_effects():
+        if core.counted_resources is not None and self.leadership.may_answer(now):
+            self._ask_servers(core.counted_resources, now)
+        for effect in core.take_actions():
             self._carry_out(core, effect)
         if self._drain_since is not None and (
-            core.journal.is_idle() or now - self._drain_since > DRAIN_S
+            core.log.is_idle() or now - self._drain_since > DRAIN_S
         ):
             self._drain_since = None
             self.election.hand_over()
@@ -256,19 +260,19 @@
                 )
             house.licences.send(ask, self.term)
 
-    def _carry_out(self, core: Core, effect: Effect) -> None:
+    def _carry_out(self, core: Scheduler, effect: Action) -> None:
         house, term = self.house, self.term
         if isinstance(effect, Reply):
-            effect.slot.put((effect.status, effect.body, effect.retry_after))
-        elif isinstance(effect, Push):
-            house.workers.push(effect, term)
-        elif isinstance(effect, Inspect):
-            house.workers.inspect(effect, term)
-        elif isinstance(effect, Rent):
+            effect.reply_to.put((effect.status, effect.body, effect.retry_after))
+        elif isinstance(effect, SendCommands):
+            house.workers.send_commands(effect, term)
+        elif isinstance(effect, ProbeMachine):
+            house.workers.probe(effect, term)
+        elif isinstance(effect, RentMachines):
             house.cloud.rent(effect, term, self._entitled(term))
-        elif isinstance(effect, Delete):
+        elif isinstance(effect, DeleteMachines):
             house.cloud.delete(effect, term, self._entitled(term))
-        elif isinstance(effect, CallShare) and house.keeper is not None:
+        elif isinstance(effect, CallShard) and house.keeper is not None:
             house.keeper.call(effect, term)
 
     # -- terms --------------------------------------------------------------------------
@@ -300,7 +304,7 @@
                 house.stop.wait(0.2)
         now = house.routines.now()
         limits = deployment.state
-        parts = 1 if sharing is None else sharing.shares
+        parts = 1 if sharing is None else sharing.shard_count
         journal = WriteAheadLog(
             leader_key=self.election.key,
             leader_version=term.key_version,
@@ -318,7 +322,7 @@
         )
         journal.remove_keys(recovered.orphaned_keys)
         self._drain_since = None
-        self.core = Core(
+        self.core = Scheduler(
             house.settings,
             house.operator,
             self.leadership,
@@ -330,11 +334,11 @@
             self._counted(replay, journal, term),
             sharing,
         )
-        self.served = Served(self.core.cluster, self.core.aims, now, house.routines.wall())
+        self.served = Served(self.core.cluster, self.core.objectives, now, house.routines.wall())
         self.term = term
         if not self.share:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
-            house.cloud.lead(term)
+            house.cloud.set_term(term)
         log.info(
             "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
             f" share {self.share}" if self.share else "",
@@ -367,19 +371,19 @@
         self._drain_since = None
         if not self.share:
             self.election.relayed_fraction = 0.0
-            self.house.cloud.lead(None)
+            self.house.cloud.set_term(None)
         if core is not None:
-            core.abandon()
-            for effect in core.take_effects():
+            core.end_term()
+            for effect in core.take_actions():
                 if isinstance(effect, Reply):
-                    effect.slot.put((effect.status, effect.body, effect.retry_after))
+                    effect.reply_to.put((effect.status, effect.body, effect.retry_after))
 
     def unchanged(self, report: HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; asked by connections' routines."""
         core = self.core
         if core is None or not self.leadership.may_answer(now):
             return None
-        return core.express.answer(report, now)
+        return core.fast_path.answer(report, now)
 
     def knows(self, machine: str) -> bool:
         """Is this the share that a machine is in, whatever its name says? Asked by the
@@ -391,7 +395,7 @@
     def told_by_now(self, job_id: str) -> str | None:
         """What users have been told of a job at least, as far as this node knows."""
         core = self.core
-        return None if core is None else core.requests.told_by_now(job_id)
+        return None if core is None else core.job_requests.last_reported_state(job_id)
 
     def view(self) -> dict[str, Any]:
         core = self.core
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -16,7 +16,7 @@
 
 from appleshift.protocol import users
 from appleshift.protocol.sharding import Ask, Portion, Standing
-from appleshift.sharding.interfaces import ShareCore
+from appleshift.sharding.interfaces import ShardScheduler
 from appleshift.state.cluster_state import CANCELLED, FINISHED, OPEN, Job, partition_key
 from appleshift.state.name_index import from_ranges, to_ranges
 from appleshift.storage import records
@@ -32,7 +32,7 @@
     """Of one term of a share, as a home and as one that runs what others sent."""
 
     def __init__(
-        self, core: ShareCore, number: int, takers: list[int], hurry: Callable[[int], None]
+        self, core: ShardScheduler, number: int, takers: list[int], hurry: Callable[[int], None]
     ) -> None:
         self._core = core
         self._number = number
@@ -78,8 +78,10 @@
             # From here on nothing of it starts or counts as done at home.
             job.status = CANCELLED
             job.cancel_requested = True
-            core.write([records.cancel_requested_record(job)], lambda: self._called_off(job))
-        core.hold(slot)
+            core.append_records(
+                [records.cancel_requested_record(job)], lambda: self._called_off(job)
+            )
+        core.hold_reply(slot)
         self._waiting[job.spec.id].append(slot)
 
     def _called_off(self, job: Job) -> None:
@@ -102,10 +104,10 @@
             job.cancel_durable = True
             self._forget(job)
             for slot in self._waiting.pop(job_id, ()):
-                core.settle(slot, 200, users.state_body(job_id, users.CANCELLED))
-            core.cancelled(job)
+                core.answer_held(slot, 200, users.state_body(job_id, users.CANCELLED))
+            core.job_cancelled(job)
 
-        core.write([records.cancel_record(job)], durable)
+        core.append_records([records.cancel_record(job)], durable)
 
     def _forget(self, job: Job) -> None:
         """No other share has anything of it any more that matters here."""
@@ -157,7 +159,7 @@
                 self._running.get((standing.id, other), 0) for other, _, _ in job.partitions
             )
             if done:
-                self._core.complete(job, done, [])
+                self._core.complete_tasks(job, done, [])
             if standing.state == FINISHED:
                 self._ended.add(key)
         elif standing.state == FINISHED:
@@ -195,9 +197,9 @@
 
         def durable() -> None:
             job.accepted = True
-            core.dirty = True
+            core.placement_needed = True
 
-        core.write([records.job_record(job), *records.done_records(job, others)], durable)
+        core.append_records([records.job_record(job), *records.done_records(job, others)], durable)
 
     def _end(self, job_id: str) -> None:
         """Nothing of this job starts here from now on, not even if it comes later."""
@@ -206,11 +208,11 @@
         if job is not None:
             if job.status == OPEN:
                 job.status = CANCELLED
-                core.write([records.cancel_record(job)], lambda: core.cancelled(job))
+                core.append_records([records.cancel_record(job)], lambda: core.job_cancelled(job))
         elif key not in core.cluster.final_states:
             core.cluster.final_states[key] = CANCELLED
-            core.unsaved_finals.append((key, CANCELLED))
-            core.write([records.final_state_record(key, CANCELLED)])
+            core.unsaved_final_states.append((key, CANCELLED))
+            core.append_records([records.final_state_record(key, CANCELLED)])
 
     def _standing(self, job_id: str) -> Standing | None:
         cluster, key = self._core.cluster, partition_key(job_id)
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -8,7 +8,7 @@
 from appleshift.placement.fit import how_many
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
-from appleshift.sharding.interfaces import DIGEST_S, ShareCore
+from appleshift.sharding.interfaces import DIGEST_S, ShardScheduler
 from appleshift.sharding.machine_transfer import Handing
 from appleshift.sharding.shard_map import ShareMap
 from appleshift.sharding.shard_reporter import lacking as lacking_in
@@ -29,7 +29,7 @@
 class Overview:
     """Of one term of the first share."""
 
-    def __init__(self, core: ShareCore, known: ShareMap, handing: Handing) -> None:
+    def __init__(self, core: ShardScheduler, known: ShareMap, handing: Handing) -> None:
         self._core = core
         self._map = known
         self._handing = handing
@@ -66,7 +66,7 @@
             if core.now - since > MOVE_S:
                 del moving[name]
         return Plan(
-            core.token,
+            core.fencing_token,
             cluster.types,
             sorted(self._leaving[digest.share])[: cloud.MAX_DELETE],
             fleet.on_demand_spare.get(False, 0.0) / plain,
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -6,7 +6,7 @@
 
 from appleshift.heartbeat_ingest.fast_path import Express
 from appleshift.machines.fleet import Fleet
-from appleshift.scheduler.job_requests import Answering
+from appleshift.scheduler.job_requests import ReplyingScheduler
 from appleshift.state.cluster_state import Job
 
 DIGEST_S = 1.0
@@ -14,16 +14,16 @@
 MACHINES_A_CALL = 600
 
 
-class ShareCore(Answering, Protocol):
+class ShardScheduler(ReplyingScheduler, Protocol):
     """The core of one term of a share."""
 
     fleet: Fleet
-    express: Express
+    fast_path: Express
 
-    def complete(self, job: Job, tasks: list[int], runs: list[Any]) -> None: ...
+    def complete_tasks(self, job: Job, tasks: list[int], runs: list[Any]) -> None: ...
 
     def stop_job(self, job: Job) -> None: ...
 
-    def hold(self, slot: Any) -> None: ...
+    def hold_reply(self, slot: Any) -> None: ...
 
-    def settle(self, slot: Any, status: int, body: Any) -> None: ...
+    def answer_held(self, slot: Any, status: int, body: Any) -> None: ...
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -13,7 +13,7 @@
 import logging
 
 from appleshift.protocol.sharding import GivenMachine
-from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
+from appleshift.sharding.interfaces import MACHINES_A_CALL, ShardScheduler
 from appleshift.state.cluster_state import HandedOffMachine
 from appleshift.storage import records
 
@@ -23,7 +23,7 @@
 class Handing:
     """Of one term of a share: machines given away, and taken."""
 
-    def __init__(self, core: ShareCore, number: int) -> None:
+    def __init__(self, core: ShardScheduler, number: int) -> None:
         self._core = core
         self._number = number
         # Given away, and not confirmed in this term; not what is not durably given
@@ -49,7 +49,7 @@
             or not machine.schedulable()
         ):
             return None
-        if core.draining or not core.authority.may_write(core.now):
+        if core.draining or not core.lease.may_write(core.now):
             return None
         kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
         given = HandedOffMachine(
@@ -60,18 +60,18 @@
             machine.spot,
             share,
             machine.transfer_count + 1,
-            core.token_for(machine),
+            core.fencing_token_for(machine),
         )
         # Out of use from here on: whatever becomes of the record, it is no longer ours
         # to start anything on.
         cluster.forget_machine(machine)
-        core.express.cells.pop(name, None)
+        core.fast_path.cells.pop(name, None)
         cluster.handed_off[name] = given
 
         def durable() -> None:
             self._untold[name] = given
 
-        core.write([records.handed_off_record(given)], durable)
+        core.append_records([records.handed_off_record(given)], durable)
         self.moved += 1
         log.info("machine %s goes to share %d", name, share)
         return given
@@ -100,7 +100,7 @@
             told.token,
         )
         machine.rented_at = machine.idle_since = core.now
-        core.write([records.machine_record(cluster, machine)])
+        core.append_records([records.machine_record(cluster, machine)])
         log.info("machine %s comes from another share", told.name)
         return True
 
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from appleshift.contracts import events
-from appleshift.contracts.actions import CallShare
+from appleshift.contracts.actions import CallShard
 from appleshift.leader_election.election import PEER_STATUS_VALID_S, LeaderTerm
 from appleshift.leader_election.peer_monitor import PeerMonitor
 from appleshift.node_limits.node_limits import NodeLimits
@@ -155,7 +155,7 @@
             if not leaving or leaving & self._busy(replay, leaving):
                 self._adopt(value, version)
                 return
-        kinds = replay.cluster.types or self.house.cloud.types()
+        kinds = replay.cluster.types or self.house.cloud.machine_types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
         teams = self.house.settings.deployment.teams
         epochs: list[Epoch] = [] if value is None else value.epochs
@@ -315,25 +315,25 @@
 
     # -- calls between holders ---------------------------------------------------------------
 
-    def call(self, effect: CallShare, term: Any) -> None:
+    def call(self, effect: CallShard, term: Any) -> None:
         self._pool.submit(self._call, effect, term)
 
-    def _call(self, effect: CallShare, term: Any) -> None:
-        back = _Back(self.house.post, term, effect.share)
-        holding = self._holdings.get(effect.share)
+    def _call(self, effect: CallShard, term: Any) -> None:
+        back = _Back(self.house.post, term, effect.shard)
+        holding = self._holdings.get(effect.shard)
         holder = None if holding is None else holding.election.current_leader()
         if holder == self.house.settings.name:
-            self.house.post(events.ShareAsk(effect.share, back, effect.message))
+            self.house.post(events.ShardRequestReceived(effect.shard, back, effect.message))
             return
         client = self.house.siblings.get(holder or "")
         answer = None
         try:
             if client is not None:
-                body = encode(ShareCall(effect.share, effect.message))
+                body = encode(ShareCall(effect.shard, effect.message))
                 status, raw = client.request("POST", SHARE_PATH, body, CALL_S)
                 answer = decode_answer(raw) if status == 200 else None
         except (ClientError, ProtocolError) as error:
-            log.debug("call to share %d: %s", effect.share, error)
+            log.debug("call to share %d: %s", effect.shard, error)
         back.put((200 if answer is not None else 503, answer, 0))
 
 
@@ -350,4 +350,6 @@
 
     def put(self, answer: tuple[int, Any, int]) -> None:
         status, body, _ = answer
-        self._post(events.ShareTold(self._term, self._share, body if status == 200 else None))
+        self._post(
+            events.ShardReplyReceived(self._term, self._share, body if status == 200 else None)
+        )
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -22,7 +22,7 @@
     Plan,
 )
 from appleshift.provisioning.pool import CapacityPool, need_of_shortage
-from appleshift.sharding.interfaces import MACHINES_A_CALL, ShareCore
+from appleshift.sharding.interfaces import MACHINES_A_CALL, ShardScheduler
 from appleshift.sharding.machine_transfer import Handing
 from appleshift.state.cluster_state import UP as MACHINE_UP
 from appleshift.state.cluster_state import ClusterState
@@ -39,7 +39,7 @@
     return NeedNow(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
 
 
-def lacking(core: ShareCore) -> list[NeedNow]:
+def lacking(core: ShardScheduler) -> list[NeedNow]:
     """What waits for room, the most urgent first."""
     cluster = core.cluster
     some = core.fleet.shortages[:NEEDS]
@@ -49,7 +49,7 @@
 class Reporting:
     """Of one term of a share other than the first."""
 
-    def __init__(self, core: ShareCore, number: int, handing: Handing) -> None:
+    def __init__(self, core: ShardScheduler, number: int, handing: Handing) -> None:
         self._core = core
         self._number = number
         self._handing = handing
@@ -91,7 +91,7 @@
         pools = [CapacityPool(core.fleet, gpus) for gpus in (False, True)] if cluster.types else []
         return Digest(
             self._number,
-            core.token,
+            core.fencing_token,
             self._seq,
             changed,
             [[*pool.needed_capacity(now)] for pool in pools],
@@ -131,7 +131,7 @@
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
         if leaving:
-            core.delete(leaving)
+            core.delete_machines(leaving)
 
     def unheard(self) -> None:
         """Perhaps the leader heard, perhaps not: all of it is said again."""
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -12,14 +12,14 @@
 from collections import defaultdict
 from typing import Any
 
-from appleshift.contracts.actions import CallShare
+from appleshift.contracts.actions import CallShard
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.sharding import Ask, Digest, Plan, Told
 from appleshift.protocol.users import Submission
 from appleshift.sharding.array_partitions import Portions
 from appleshift.sharding.fleet_summary import Overview
-from appleshift.sharding.interfaces import DIGEST_S, ShareCore
+from appleshift.sharding.interfaces import DIGEST_S, ShardScheduler
 from appleshift.sharding.machine_transfer import Handing
 from appleshift.sharding.shard_map import ShareMap, pinned
 from appleshift.sharding.shard_reporter import Reporting
@@ -38,11 +38,11 @@
     """One for each term of a share."""
 
     def __init__(self, number: int, known: ShareMap, teams: list[TeamLimits]) -> None:
-        self.number = number
-        self.shares = known.shares
+        self.shard = number
+        self.shard_count = known.shares
         self._map = known
         self._pinned = {team.name for team in teams if pinned(team)}
-        self._core: ShareCore
+        self._core: ShardScheduler
         self._portions: Portions
         self._handing: Handing
         self._reporting: Reporting
@@ -52,25 +52,25 @@
         self._next_ask: dict[int, float] = defaultdict(float)
         self._next_look = 0.0
 
-    def serve(self, core: Any) -> None:
+    def attach(self, core: Any) -> None:
         self._core = core
-        self._portions = Portions(core, self.number, self._map.takers, self._hurry)
-        self._handing = Handing(core, self.number)
-        self._reporting = Reporting(core, self.number, self._handing)
+        self._portions = Portions(core, self.shard, self._map.takers, self._hurry)
+        self._handing = Handing(core, self.shard)
+        self._reporting = Reporting(core, self.shard, self._handing)
         self._overview = Overview(core, self._map, self._handing)
 
     # -- what belongs where --------------------------------------------------------
 
-    def owns(self, machine: str, kind: str) -> bool:
-        return self._map.machine(machine, kind) == self.number
+    def owns_machine(self, machine: str, kind: str) -> bool:
+        return self._map.machine(machine, kind) == self.shard
 
     def is_home(self, job_id: str) -> bool:
-        return self._map.homes(job_id)[0] == self.number
+        return self._map.homes(job_id)[0] == self.shard
 
-    def may_know(self, job_id: str, map_version: int) -> bool:
-        return map_version == self._map.version and self.number in self._map.homes(job_id)
+    def is_current_map(self, job_id: str, map_version: int) -> bool:
+        return map_version == self._map.version and self.shard in self._map.homes(job_id)
 
-    def decides(self, spec: Submission) -> int:
+    def deciding_shard(self, spec: Submission) -> int:
         """The first share has the machines with cards, and teams with limits on the rest."""
         if spec.gpus > 0 or spec.team in self._pinned or spec.seats:
             return 0
@@ -79,49 +79,49 @@
             for kind in self._core.cluster.types
             if kind.name not in self._map.cards and (spec.types is None or kind.name in spec.types)
         )
-        return self.number if any(type_fits(kind, spec) for kind in plain) else 0
+        return self.shard if any(type_fits(kind, spec) for kind in plain) else 0
 
     # -- what the core asks of it --------------------------------------------------------
 
-    def divide(self, job: Job) -> list[Record]:
+    def partition_array(self, job: Job) -> list[Record]:
         return self._portions.divide(job)
 
-    def call_off(self, job: Job, slot: Any) -> None:
+    def cancel_partitioned(self, job: Job, slot: Any) -> None:
         self._portions.call_off(job, slot)
 
-    def evicted(self, kind: int, zone: int) -> None:
+    def machine_evicted(self, kind: int, zone: int) -> None:
         self._reporting.evicted(kind, zone)
 
-    def give_back(self, machines: list[Machine]) -> None:
+    def return_machines(self, machines: list[Machine]) -> None:
         self._overview.give_back(machines)
 
-    def sums(
+    def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
         return self._overview.sums(gpus, own)
 
-    def needs(self, gpus: bool) -> list[CapacityNeed]:
+    def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
         return self._overview.needs(gpus)
 
     # -- other holders ---------------------------------------------------------------------
 
-    def asked(self, message: Any, slot: Any) -> None:
+    def request_received(self, message: Any, slot: Any) -> None:
         core = self._core
-        if isinstance(message, Digest) and not self.number:
-            if core.authority.may_answer(core.now):
+        if isinstance(message, Digest) and not self.shard:
+            if core.lease.may_answer(core.now):
                 core.reply(slot, 200, self._overview.digested(message))
                 return
         elif isinstance(message, Ask):
             changes = message.portions or message.called_off or message.machines
-            writes = core.authority.may_write(core.now) and not (core.draining or core.is_stalled)
-            if core.authority.may_answer(core.now) and (writes or not changes):
+            writes = core.lease.may_write(core.now) and not (core.draining or core.is_stalled)
+            if core.lease.may_answer(core.now) and (writes or not changes):
                 standings = self._portions.asked(message)
                 taken = [each.name for each in message.machines if self._handing.take(each)]
                 core.reply_durable(slot, 200, Told(standings, taken))
                 return
-        core.unavailable(slot)
+        core.reply_unavailable(slot)
 
-    def told(self, share: int, answer: Any) -> None:
+    def reply_received(self, share: int, answer: Any) -> None:
         self._calling.discard(share)
         if isinstance(answer, Told):
             for standing in answer.standings:
@@ -139,21 +139,21 @@
     def _call(self, share: int, message: Ask | Digest, again_s: float) -> None:
         self._calling.add(share)
         self._next_ask[share] = self._core.now + again_s
-        self._core.effects.append(CallShare(share, message))
+        self._core.actions.append(CallShard(share, message))
 
     # -- time --------------------------------------------------------------------------------
 
     def step(self, now: float) -> None:
         core = self._core
-        if now < self._next_look or not core.authority.may_answer(now):
+        if now < self._next_look or not core.lease.may_answer(now):
             return
         self._next_look = now + LOOK_S
         outstanding, given = self._portions.outstanding(), self._handing.untold()
         for share in {**outstanding, **given}:
             if share not in self._calling and now >= self._next_ask[share]:
                 lists = outstanding.get(share, ([], [], []))
-                self._call(share, Ask(self.number, *lists, given.get(share, [])), ASK_S)
-        if not self.number:
+                self._call(share, Ask(self.shard, *lists, given.get(share, [])), ASK_S)
+        if not self.shard:
             self._overview.step(now)
         elif 0 not in self._calling and now >= self._next_ask[0]:
             again_s = DIGEST_S if core.cluster.types else EARLY_S
@@ -165,4 +165,4 @@
             "waiting": sum(shortage.tasks for shortage in self._core.fleet.shortages),
             "handed_on": self._handing.moved,
         }
-        return found if self.number else {**found, "heard": self._overview.heard()}
+        return found if self.shard else {**found, "heard": self._overview.heard()}
