--- a/appleshift/node_limits/node_limits.py
+++ b/appleshift/node_limits/node_limits.py
@@ -78,8 +78,8 @@
             peers=max(8, min(MOST_PEERS, int(sockets * 0.06))),
             calls=max(4, min(24, connections // 8)),
             clients=max(8, int(sockets * (0.15 if shared else 0.3))),
-            queued=max(64, int(MAX_QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
-            rest_s=min(MAX_ROUND_PAUSE_S, ROUND_PAUSE_S / limits.core_share),
+            max_queued=max(64, int(MAX_QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
+            round_pause_s=min(MAX_ROUND_PAUSE_S, ROUND_PAUSE_S / limits.core_share),
         )
 
 
