--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -18,7 +18,7 @@
 
 ANSWER_S = 4.0
 """Users wait 5 s for most answers, workers 4 s; later ones help nobody."""
-MOST_LOAD: dict[type[events.ApiRequest], float] = {
+MAX_LOAD: dict[type[events.ApiRequest], float] = {
     events.HeartbeatReceived: 2.0,
     events.ShardRequestReceived: 2.0,
     events.CancelJob: 1.5,
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoreAnswer:
+class SchedulerReply:
     """What the core answers to a request."""
 
     status: int
@@ -61,24 +61,24 @@
     return response
 
 
-class ShareReplica(Protocol):
+class ShardReplicaView(Protocol):
     """A share, as this node stands to it."""
 
     @property
     def election(self) -> LeaderElection: ...
 
     @property
-    def leadership(self) -> LeaderLease: ...
+    def lease(self) -> LeaderLease: ...
 
-    def knows(self, machine: str) -> bool:
+    def has_machine(self, machine: str) -> bool:
         """Has its core that machine?"""
         ...
 
-    def unchanged(self, report: workers.HeartbeatHeader, now: float) -> bytes | None:
+    def unchanged_response(self, report: workers.HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; None: the core must see it."""
         ...
 
-    def told_by_now(self, job_id: str) -> str | None:
+    def last_reported_state(self, job_id: str) -> str | None:
         """What users have been told of a job at least, as far as this node knows."""
         ...
 
@@ -87,64 +87,64 @@
         ...
 
 
-class ShareMapView(Protocol):
+class ShardMapView(Protocol):
     """Which share has what, where there are several."""
 
-    def homes(self, job_id: str) -> list[int]:
+    def home_shards(self, job_id: str) -> list[int]:
         """Where a job of that id may be known; a new one belongs to the first."""
         ...
 
-    def machine(self, name: str, kind: str) -> int: ...
+    def shard_of_machine(self, name: str, kind: str) -> int: ...
 
     @property
     def version(self) -> int: ...
 
     @property
-    def takers(self) -> list[int]:
+    def submission_shards(self) -> list[int]:
         """Shares that take users' submissions."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class RoutingContext:
+class ApiContext:
     """Read by all connections' routines; nothing in it is replaced."""
 
-    replicas: Mapping[int, ShareReplica]
-    siblings: dict[str, Caller]
+    replicas: Mapping[int, ShardReplicaView]
+    peer_clients: dict[str, Caller]
     post: Callable[[events.Event], None]
     """Hands an event to the core's routine."""
     load: Callable[[], float]
     """Length of the core's queue, in what a node should keep waiting."""
     routines: Routines
-    share_map: Callable[[], ShareMapView | None] = lambda: None
+    shard_map: Callable[[], ShardMapView | None] = lambda: None
 
     @property
-    def first(self) -> ShareReplica:
+    def first(self) -> ShardReplicaView:
         """The first share, whose holder is the leader."""
         return self.replicas[0]
 
-    def entitled(self, replica: ShareReplica) -> bool:
-        return replica.leadership.may_answer(self.routines.now())
+    def entitled(self, replica: ShardReplicaView) -> bool:
+        return replica.lease.may_answer(self.routines.now())
 
-    def elsewhere(self, replica: ShareReplica) -> bool:
+    def is_led_elsewhere(self, replica: ShardReplicaView) -> bool:
         """Only its holder answers for a share. One whose lease lapsed sends users on to
         its successor; while there is none, its core still knows what is final."""
-        if not replica.leadership.is_leader:
+        if not replica.lease.is_leader:
             return True
         holder = replica.election.current_leader()
         return not self.entitled(replica) and holder not in (None, replica.election.name)
 
-    def ask_core(self, event: events.ApiRequest) -> CoreAnswer | None:
+    def ask_scheduler(self, event: events.ApiRequest) -> SchedulerReply | None:
         """Put a request to the core and wait for its answer; None: it gives none in time."""
-        if self.load() > MOST_LOAD[type(event)]:
+        if self.load() > MAX_LOAD[type(event)]:
             return None
         self.post(event)
         try:
-            return CoreAnswer(*event.reply_to.get(timeout=ANSWER_S))
+            return SchedulerReply(*event.reply_to.get(timeout=ANSWER_S))
         except queue.Empty:
             return None
 
     def ask(self, event: events.ApiRequest) -> Response:
         """What the core answers to a request, as a response."""
-        answer = self.ask_core(event)
+        answer = self.ask_scheduler(event)
         return unavailable() if answer is None else answer.response()
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Callable
 
-from appleshift.api.context import RoutingContext, ShareReplica, unavailable
-from appleshift.api.freshness import Freshness
+from appleshift.api.context import ApiContext, ShardReplicaView, unavailable
+from appleshift.api.freshness import ResponseFreshness
 from appleshift.transport.client import ClientError
 from appleshift.transport.server import Request, Response
 
@@ -23,8 +23,8 @@
 
     def __init__(
         self,
-        context: RoutingContext,
-        freshness: Freshness,
+        context: ApiContext,
+        freshness: ResponseFreshness,
         route: Callable[[Request], Response],
     ) -> None:
         self._context = context
@@ -32,7 +32,7 @@
         self._route = route
 
     def forward(
-        self, replica: ShareReplica, request: Request, forwarded: bool, hold: bool
+        self, replica: ShardReplicaView, request: Request, forwarded: bool, hold: bool
     ) -> Response:
         """Only a share's holder answers users, so that nobody gets an older answer."""
         if forwarded:
@@ -44,7 +44,7 @@
             leader = replica.election.current_leader()
             if leader == replica.election.name and context.entitled(replica):
                 return self._route(request)
-            client = context.siblings.get(leader) if leader else None
+            client = context.peer_clients.get(leader) if leader else None
             if client is not None:
                 break
             # A query may wait a moment for an election to end. A submission
@@ -59,4 +59,4 @@
         except ClientError as error:
             log.debug("forwarding: %s", error)
             return unavailable()
-        return self._freshness.passed_on(answer, asked_at)
+        return self._freshness.forwarded_response(answer, asked_at)
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -12,9 +12,9 @@
 from __future__ import annotations
 
 from appleshift.api.context import (
-    CoreAnswer,
-    RoutingContext,
-    ShareReplica,
+    ApiContext,
+    SchedulerReply,
+    ShardReplicaView,
     respond,
     unavailable,
 )
@@ -28,13 +28,15 @@
 FINAL_STATES = (users.DONE, users.CANCELLED)
 
 
-class Freshness:
+class ResponseFreshness:
     """Of the answers that the holder of a share gives to users."""
 
-    def __init__(self, context: RoutingContext) -> None:
+    def __init__(self, context: ApiContext) -> None:
         self._context = context
 
-    def watch(self, answer: CoreAnswer, replica: ShareReplica, job_id: str) -> Response:
+    def revalidated_before_sending(
+        self, answer: SchedulerReply, replica: ShardReplicaView, job_id: str
+    ) -> Response:
         """The response to a user, which is looked at again right before it is sent."""
         response = answer.response()
         may_change = answer.status in (200, 201, 404)
@@ -46,21 +48,21 @@
 
         return Response(response.status, response.body, response.headers, revalidate=revalidate)
 
-    def _current(self, response: Response, replica: ShareReplica, job_id: str) -> Response:
-        told = replica.told_by_now(job_id)
+    def _current(self, response: Response, replica: ShardReplicaView, job_id: str) -> Response:
+        told = replica.last_reported_state(job_id)
         if told in FINAL_STATES:
             # Over since this was worked out, and perhaps its user was told so elsewhere.
             return respond(200, users.status_body(job_id, told))
         if response.status == 201:
             # What this request itself wrote; nobody was told anything of it before.
             return response
-        left_s = replica.leadership.valid_for_s(self._context.routines.now())
+        left_s = replica.lease.valid_for_s(self._context.routines.now())
         if left_s <= 0.0 or (response.status == 404 and told is not None):
             return unavailable()
         headers = {**response.headers, VALID_FOR: str(int(left_s * 1000))}
         return Response(response.status, response.body, headers)
 
-    def passed_on(self, answer: Answer, asked_at: float) -> Response:
+    def forwarded_response(self, answer: Answer, asked_at: float) -> Response:
         """A sibling's answer to what it was asked then, as long as it is valid."""
         headers = {"Retry-After": answer.retry_after} if answer.retry_after else {}
         valid_for = answer.valid_for_ms
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from appleshift.api.context import RoutingContext, respond, unavailable
+from appleshift.api.context import ApiContext, respond, unavailable
 from appleshift.api.forwarding import Forwarder
 from appleshift.contracts import events
 from appleshift.protocol import users
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        context: RoutingContext,
+        context: ApiContext,
         forwarder: Forwarder,
         store: KeyValueStore,
         hears: Callable[[], int],
@@ -31,13 +31,13 @@
         self._context = context
         self._forwarder = forwarder
         self._store = store
-        self._hears = hears
+        self._max_machines = hears
         self._pages = RateBudget(context.routines, PAGES_RPS)
 
     def ready(self) -> Response:
         """While most of what users may need can be reached from here."""
-        known = self._context.share_map()
-        wanted = [0] if known is None else known.takers
+        known = self._context.shard_map()
+        wanted = [0] if known is None else known.submission_shards
         served = sum(
             1
             for share in wanted
@@ -49,7 +49,7 @@
 
     def nodes(self) -> Response:
         """For operators: who leads, as far as this node knows."""
-        leadership, election = self._context.first.leadership, self._context.first.election
+        leadership, election = self._context.first.lease, self._context.first.election
         body = {
             "name": election.name,
             "leading": leadership.is_leader,
@@ -57,16 +57,14 @@
             "token": max(leadership.fencing_token, leadership.highest_seen_token),
             "relays": election.relays(),
             "sent_away": election.current_relayed_fraction(),
-            "hears": self._hears(),
+            "hears": self._max_machines(),
         }
-        if self._context.share_map() is not None:
+        if self._context.shard_map() is not None:
             body["shares"] = [
                 {
                     "share": share,
                     "holder": replica.election.current_leader(),
-                    "token": max(
-                        replica.leadership.fencing_token, replica.leadership.highest_seen_token
-                    ),
+                    "token": max(replica.lease.fencing_token, replica.lease.highest_seen_token),
                     **replica.view(),
                 }
                 for share, replica in sorted(self._context.replicas.items())
@@ -79,7 +77,7 @@
         if not what:
             return (
                 self._forwarder.forward(self._context.first, request, forwarded, hold=True)
-                if self._context.elsewhere(self._context.first)
+                if self._context.is_led_elsewhere(self._context.first)
                 else self._context.ask(
                     events.GetCountedResources(0, self._context.routines.mailbox(), None)
                 )
@@ -89,7 +87,7 @@
         if what == "pages":
             # Written once and never changed: any node may read them.
             return self._audit_page(int(number))
-        if self._context.elsewhere(self._context.first):
+        if self._context.is_led_elsewhere(self._context.first):
             return self._forwarder.forward(self._context.first, request, forwarded, hold=True)
         return self._context.ask(
             events.GetCountedResources(0, self._context.routines.mailbox(), int(number) - 1)
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from appleshift.api.context import RoutingContext, respond, unavailable
+from appleshift.api.context import ApiContext, respond, unavailable
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
@@ -16,18 +16,18 @@
 
     def __init__(
         self,
-        context: RoutingContext,
+        context: ApiContext,
         reaches: Callable[[str], bool],
         hello: Callable[[], peers.PeerStatus | None],
     ) -> None:
         self._context = context
-        self._reaches = reaches
-        self._hello = hello
+        self._is_worker_reachable = reaches
+        self._own_status = hello
 
-    def heartbeat(self) -> Response:
-        return respond(200, self._hello())
+    def peer_status(self) -> Response:
+        return respond(200, self._own_status())
 
-    def vote(self, body: bytes) -> Response:
+    def lease_vote(self, body: bytes) -> Response:
         try:
             request = peers.decode_lease_vote_request(body)
         except ProtocolError as error:
@@ -38,25 +38,25 @@
             200 if given else 409, peers.LeaseVote(given, self._context.first.election.process_id)
         )
 
-    def reach(self, body: bytes) -> Response:
+    def connectivity(self, body: bytes) -> Response:
         """Do some of these workers answer this node, and could it be elected?"""
         try:
             request = peers.decode_connectivity_request(body)
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
-        reached = any(self._reaches(addr) for addr in request.addresses)
+        reached = any(self._is_worker_reachable(addr) for addr in request.addresses)
         return respond(
             200, peers.ConnectivityReply(reached and self._context.first.election.store_answers())
         )
 
-    def share_call(self, body: bytes) -> Response:
+    def shard_call(self, body: bytes) -> Response:
         """The holder of another share asks this one's."""
         try:
             call = sharding.decode_call(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         replica = self._context.replicas.get(call.to)
-        if replica is None or self._context.elsewhere(replica):
+        if replica is None or self._context.is_led_elsewhere(replica):
             return unavailable()
         return self._context.ask(
             events.ShardRequestReceived(call.to, self._context.routines.mailbox(), call.message)
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -7,14 +7,14 @@
 from urllib.parse import unquote, urlsplit
 
 from appleshift.api.context import (
-    RoutingContext,
-    ShareMapView,
-    ShareReplica,
+    ApiContext,
+    ShardMapView,
+    ShardReplicaView,
     refuse_method,
     respond,
 )
 from appleshift.api.forwarding import Forwarder
-from appleshift.api.freshness import Freshness
+from appleshift.api.freshness import ResponseFreshness
 from appleshift.api.operator_endpoints import OperatorEndpoints
 from appleshift.api.peer_endpoints import PeerEndpoints
 from appleshift.api.user_endpoints import JOBS, UserEndpoints
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        replicas: Mapping[int, ShareReplica],
+        replicas: Mapping[int, ShardReplicaView],
         siblings: dict[str, Caller],
         post: Callable[[events.Event], None],
         load: Callable[[], float],
@@ -44,12 +44,12 @@
         store: KeyValueStore,
         hears: Callable[[], int] = lambda: 0,
         hello: Callable[[], peers.PeerStatus | None] = lambda: None,
-        share_map: Callable[[], ShareMapView | None] = lambda: None,
+        share_map: Callable[[], ShardMapView | None] = lambda: None,
         crowded: Callable[[], bool] = lambda: False,
         heard: Callable[[], None] = lambda: None,
     ) -> None:
-        context = RoutingContext(replicas, siblings, post, load, routines, share_map)
-        freshness = Freshness(context)
+        context = ApiContext(replicas, siblings, post, load, routines, share_map)
+        freshness = ResponseFreshness(context)
         forwarder = Forwarder(
             context, freshness, lambda request: self._route(request, forwarded=True)
         )
@@ -68,15 +68,15 @@
     def cluster(self, request: Request) -> Response:
         """The siblings: their own calls, and users' requests that they send on."""
         if request.path == peers.LEASE_VOTE_PATH and request.method == "POST":
-            return self._peers.vote(request.body)
+            return self._peers.lease_vote(request.body)
         if request.path == peers.PEER_STATUS_PATH and request.method == "GET":
-            return self._peers.heartbeat()
+            return self._peers.peer_status()
         if request.path == sharding.SHARE_PATH and request.method == "POST":
-            return self._peers.share_call(request.body)
+            return self._peers.shard_call(request.body)
         if request.path == peers.HEARTBEAT_BATCH_PATH and request.method == "POST":
-            return self._workers.relayed_reports(request.body)
+            return self._workers.relayed_heartbeats(request.body)
         if request.path == peers.CONNECTIVITY_PATH and request.method == "POST":
-            return self._peers.reach(request.body)
+            return self._peers.connectivity(request.body)
         return self._guarded(request, forwarded=True)
 
     def _guarded(self, request: Request, forwarded: bool) -> Response:
@@ -93,7 +93,7 @@
         path = urlsplit(request.path).path
         method = request.method
         if path == "/agent/beat":
-            return refuse_method(method, "POST") or self._workers.report(request.body)
+            return refuse_method(method, "POST") or self._workers.heartbeat(request.body)
         if path == "/ready":
             return refuse_method(method, "GET") or self._operators.ready()
         if path == "/nodes":
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -6,13 +6,13 @@
 from urllib.parse import parse_qs, urlsplit
 
 from appleshift.api.context import (
-    RoutingContext,
-    ShareReplica,
+    ApiContext,
+    ShardReplicaView,
     respond,
     unavailable,
 )
 from appleshift.api.forwarding import Forwarder
-from appleshift.api.freshness import Freshness
+from appleshift.api.freshness import ResponseFreshness
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
@@ -34,7 +34,9 @@
 class UserEndpoints:
     """``forwarded``: a sibling sent the request on; it names the share that it asks."""
 
-    def __init__(self, context: RoutingContext, forwarder: Forwarder, freshness: Freshness) -> None:
+    def __init__(
+        self, context: ApiContext, forwarder: Forwarder, freshness: ResponseFreshness
+    ) -> None:
         self._context = context
         self._forwarder = forwarder
         self._freshness = freshness
@@ -45,23 +47,23 @@
         def event(share: int, homed: bool, version: int) -> events.SubmitJob:
             return events.SubmitJob(share, self._context.routines.mailbox(), spec, homed)
 
-        known = self._context.share_map()
+        known = self._context.shard_map()
         if forwarded or known is None:
-            return self._ask_named_share(request, event, forwarded, hold=False)
-        first, *formers = known.homes(spec.id)
+            return self._ask_home_shard(request, event, forwarded, hold=False)
+        first, *formers = known.home_shards(spec.id)
         for share in formers:
             # From before the shares were divided anew: known there, or to nobody.
             look = Request("GET", f"{JOBS}/{spec.id}", b"")
-            told = self._ask_share(share, look, self._status_event(spec.id), hold=False)
+            told = self._ask_shard(share, look, self._status_event(spec.id), hold=False)
             if told.status == 421:
-                return self._follow(told, request, event, hold=False)
+                return self._follow_redirect(told, request, event, hold=False)
             if told.status == 200:
                 first = share
                 break
             if told.status != 404:
                 return unavailable()
-        told = self._ask_share(first, request, event, hold=False)
-        return self._follow(told, request, event, hold=False)
+        told = self._ask_shard(first, request, event, hold=False)
+        return self._follow_redirect(told, request, event, hold=False)
 
     def status(self, job_id: str, request: Request, forwarded: bool) -> Response:
         return self._job(self._status_event(job_id), job_id, request, forwarded, hold=True)
@@ -85,16 +87,18 @@
         if not users.valid_id(job_id):
             # Users also ask about jobs that nobody can have submitted.
             return respond(404, users.error_body("no such job"))
-        known = self._context.share_map()
+        known = self._context.shard_map()
         if forwarded or known is None:
-            return self._ask_named_share(request, event, forwarded, hold)
-        for share in known.homes(job_id):
-            told = self._follow(self._ask_share(share, request, event, hold), request, event, hold)
+            return self._ask_home_shard(request, event, forwarded, hold)
+        for share in known.home_shards(job_id):
+            told = self._follow_redirect(
+                self._ask_shard(share, request, event, hold), request, event, hold
+            )
             if told.status != 404:
                 break
         return told
 
-    def _ask_named_share(
+    def _ask_home_shard(
         self, request: Request, event: MakeEvent, forwarded: bool, hold: bool
     ) -> Response:
         """A sibling names the share that it asks; without a map there is one."""
@@ -103,27 +107,27 @@
         replica = self._context.replicas.get(share)
         if replica is None:
             return unavailable()
-        if not self._context.elsewhere(replica):
+        if not self._context.is_led_elsewhere(replica):
             return self._ask_here(replica, event(share, "homed" in query, version))
         return self._forwarder.forward(replica, request, forwarded, hold)
 
-    def _ask_here(self, replica: ShareReplica, event: JobRequest) -> Response:
+    def _ask_here(self, replica: ShardReplicaView, event: JobRequest) -> Response:
         """What this node answers for a share that it holds."""
-        answer = self._context.ask_core(event)
+        answer = self._context.ask_scheduler(event)
         if answer is None:
             return unavailable()
-        return self._freshness.watch(answer, replica, event.job_id)
+        return self._freshness.revalidated_before_sending(answer, replica, event.job_id)
 
-    def _ask_share(
+    def _ask_shard(
         self, share: int, request: Request, event: MakeEvent, hold: bool, homed: bool = False
     ) -> Response:
         """What a share's holder answers, here or at a sibling."""
         replica = self._context.replicas.get(share)
-        known = self._context.share_map()
+        known = self._context.shard_map()
         version = 0 if known is None else known.version
         if replica is None:
             return unavailable()
-        if not self._context.elsewhere(replica):
+        if not self._context.is_led_elsewhere(replica):
             return self._ask_here(replica, event(share, homed, version))
         query = f"?share={share}&map={version}" + ("&homed=1" if homed else "")
         path = urlsplit(request.path).path + query
@@ -131,7 +135,9 @@
             replica, Request(request.method, path, request.body), False, hold
         )
 
-    def _follow(self, told: Response, request: Request, event: MakeEvent, hold: bool) -> Response:
+    def _follow_redirect(
+        self, told: Response, request: Request, event: MakeEvent, hold: bool
+    ) -> Response:
         """The share that an id leads to may name another, which decides for the job."""
         if told.status != 421:
             return told
@@ -139,5 +145,5 @@
             share = decode(told.body)["share"]
         except (ProtocolError, KeyError, TypeError):
             return unavailable()
-        told = self._ask_share(share, request, event, hold, homed=True)
+        told = self._ask_shard(share, request, event, hold, homed=True)
         return unavailable() if told.status == 421 else told
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from appleshift.api.context import (
-    MOST_LOAD,
-    RoutingContext,
-    ShareReplica,
+    MAX_LOAD,
+    ApiContext,
+    ShardReplicaView,
     respond,
     unavailable,
 )
 from appleshift.contracts import events
 from appleshift.heartbeat_ingest import relay_assignment
-from appleshift.heartbeat_ingest.relay import Relay
+from appleshift.heartbeat_ingest.relay import HeartbeatRelay
 from appleshift.protocol import peers, users, workers
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.server import Response
@@ -30,33 +30,35 @@
     """``crowded``: are the connections nearly used up? ``heard`` is told of each report."""
 
     def __init__(
-        self, context: RoutingContext, crowded: Callable[[], bool], heard: Callable[[], None]
+        self, context: ApiContext, crowded: Callable[[], bool], heard: Callable[[], None]
     ) -> None:
         self._context = context
         self._crowded = crowded
         self._heard = heard
-        self._relay = Relay(context.siblings, context.routines)
+        self._relay = HeartbeatRelay(context.peer_clients, context.routines)
 
     def stop(self) -> None:
         self._relay.stop()
 
-    def report(self, body: bytes) -> Response:
+    def heartbeat(self, body: bytes) -> Response:
         self._heard()
         glance = workers.decode_heartbeat_header(body)
-        answer = self._unchanged(glance)
+        answer = self._unchanged_response(glance)
         if answer is not None:
-            return self._closing(Response(200, answer))
+            return self._close_when_crowded(Response(200, answer))
         # A malformed report is refused by every node alike.
         report, tasks = workers.decode_heartbeat(body), bytes(glance.tasks)
-        known = self._context.share_map()
+        known = self._context.shard_map()
         if known is not None:
-            share = known.machine(report.machine, report.type)
-            return self._closing(self._report_to_share(report, tasks, share))
+            share = known.shard_of_machine(report.machine, report.type)
+            return self._close_when_crowded(self._heartbeat_to_shard(report, tasks, share))
         election = self._context.first.election
         here = election.name
         away = election.current_relayed_fraction()
-        relay = relay_assignment.place(report.machine, away, election.relays()) if away else None
-        if not self._context.elsewhere(self._context.first):
+        relay = (
+            relay_assignment.relay_for(report.machine, away, election.relays()) if away else None
+        )
+        if not self._context.is_led_elsewhere(self._context.first):
             if relay is not None and relay != here:
                 return respond(421, workers.redirect(relay))
             return self._context.ask(
@@ -64,61 +66,61 @@
             )
         leader = election.current_leader()
         if relay == here and leader is not None and leader != here:
-            status, answer = self._relay.pass_on(leader, body)
+            status, answer = self._relay.forward(leader, body)
             return Response(status, answer)
         to = relay or leader
         return respond(421, workers.redirect(None if to == here else to))
 
-    def _unchanged(self, glance: workers.HeartbeatHeader) -> bytes | None:
+    def _unchanged_response(self, glance: workers.HeartbeatHeader) -> bytes | None:
         """The answer to a report that says nothing new, if it has come to the right node."""
         election = self._context.first.election
-        away = election.current_relayed_fraction() if self._context.share_map() is None else 0.0
-        if away and relay_assignment.place(glance.machine, away, election.relays()):
+        away = election.current_relayed_fraction() if self._context.shard_map() is None else 0.0
+        if away and relay_assignment.relay_for(glance.machine, away, election.relays()):
             return None
         now = self._context.routines.now()
         for replica in [*self._context.replicas.values()]:
-            answer = replica.unchanged(glance, now)
+            answer = replica.unchanged_response(glance, now)
             if answer is not None:
                 return answer
         return None
 
-    def _closing(self, response: Response) -> Response:
-        if self._context.share_map() is not None and self._crowded():
+    def _close_when_crowded(self, response: Response) -> Response:
+        if self._context.shard_map() is not None and self._crowded():
             # Others find a place meanwhile: its next report opens another connection.
             response.headers["Connection"] = "close"
         return response
 
-    def _report_to_share(self, report: workers.Heartbeat, tasks: bytes, share: int) -> Response:
+    def _heartbeat_to_shard(self, report: workers.Heartbeat, tasks: bytes, share: int) -> Response:
         """A machine reports to the holder of its share, and to nobody else."""
         replica = self._context.replicas.get(share)
-        if replica is None or self._context.elsewhere(replica):
+        if replica is None or self._context.is_led_elsewhere(replica):
             # Perhaps it was handed on to a share that is held here.
             for number, other in [*self._context.replicas.items()]:
-                if other.knows(report.machine) and not self._context.elsewhere(other):
+                if other.has_machine(report.machine) and not self._context.is_led_elsewhere(other):
                     share, replica = number, other
                     break
-        response = self._report_to_holder(replica, share, report, tasks)
+        response = self._heartbeat_to_leader(replica, share, report, tasks)
         if response.status == 421 and (told := decode(response.body)).get("share") is not None:
             # It was handed on: its share's holder says where to.
             share = told["share"]
-            response = self._report_to_holder(
+            response = self._heartbeat_to_leader(
                 self._context.replicas.get(share), share, report, tasks
             )
         return response
 
-    def _report_to_holder(
-        self, replica: ShareReplica | None, share: int, report: workers.Heartbeat, tasks: bytes
+    def _heartbeat_to_leader(
+        self, replica: ShardReplicaView | None, share: int, report: workers.Heartbeat, tasks: bytes
     ) -> Response:
         if replica is None:
             return unavailable()
-        if not self._context.elsewhere(replica):
+        if not self._context.is_led_elsewhere(replica):
             return self._context.ask(
                 events.HeartbeatReceived(share, self._context.routines.mailbox(), report, tasks)
             )
         holder, here = replica.election.current_leader(), replica.election.name
         return respond(421, workers.redirect(None if holder == here else holder))
 
-    def relayed_reports(self, body: bytes) -> Response:
+    def relayed_heartbeats(self, body: bytes) -> Response:
         """What a relay has gathered: each report is answered as if it had come here."""
         try:
             batch = peers.decode_heartbeat_batch(body)
@@ -128,14 +130,16 @@
         for raw in batch.heartbeats:
             slot = self._context.routines.mailbox()
             if (
-                self._context.elsewhere(self._context.first)
-                or self._context.load() > MOST_LOAD[events.HeartbeatReceived]
+                self._context.is_led_elsewhere(self._context.first)
+                or self._context.load() > MAX_LOAD[events.HeartbeatReceived]
             ):
                 waiting.append((unavailable(), slot))
                 continue
             try:
                 glance = workers.decode_heartbeat_header(bytes(raw))
-                answer = self._context.first.unchanged(glance, self._context.routines.now())
+                answer = self._context.first.unchanged_response(
+                    glance, self._context.routines.now()
+                )
                 if answer is not None:
                     waiting.append((Response(200, answer), slot))
                     continue
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -12,8 +12,8 @@
 from typing import Any, Protocol
 
 from appleshift.contracts.actions import Action
-from appleshift.objectives.objectives import Aims
-from appleshift.placement.counted_resources import Seats
+from appleshift.objectives.objectives import Objectives
+from appleshift.placement.counted_resources import CountedResources
 from appleshift.placement.first_fit import Shortage
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
@@ -51,8 +51,8 @@
     cluster: ClusterState
     log: WriteAheadLog
     actions: deque[Action]
-    objectives: Aims
-    counted_resources: Seats | None
+    objectives: Objectives
+    counted_resources: CountedResources | None
     sharing: ShardingView | None
     clock: Callable[[], float]
     now: float
--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from appleshift.counted_resources.ledger import Book, Promise
-from appleshift.placement.fit import lost_work, stop_grace
+from appleshift.counted_resources.ledger import Commitment, Ledger
+from appleshift.placement.fit import lost_work_s, stop_grace_s
 from appleshift.protocol.counted_resources import STOP
 from appleshift.state.cluster_state import ASSIGNED, EXITED, OPEN, Job, TaskRun
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class WaitingJob:
     """A job for which seats are kept."""
 
     job: Job
@@ -49,11 +49,11 @@
         return not self.promised and len(self.job.runs) > self.runs
 
 
-class Grants:
+class Allocator:
     """Implements ``coordination.counted.SeatPass``."""
 
-    def __init__(self, book: Book, now: float, starve_s: float) -> None:
-        self._book = book
+    def __init__(self, book: Ledger, now: float, starve_s: float) -> None:
+        self._ledger = book
         self._now = now
         self._starve_s = starve_s
         self._free = [resource.free(now) for resource in book.resources]
@@ -61,21 +61,21 @@
         self._lacking: set[int] = set()
         # Jobs that asked, with the tasks they had on machines by then.
         self._asked: dict[int, int] = {}
-        self._turns = self._line_up()
+        self._turns = self._enqueue_waiting()
         self._coming: Counter[int] | None = None
 
     # -- who is kept for -------------------------------------------------------------
 
-    def _line_up(self) -> list[Turn]:
+    def _enqueue_waiting(self) -> list[WaitingJob]:
         """Promises first, then what starves, the oldest first."""
-        book, now = self._book, self._now
+        book, now = self._ledger, self._now
         turns = []
         for index, promise in list(book.promises.items()):
             job = self._waits(index)
             if job is None or promise.until < now or not any(promise.needs.values()):
                 del book.promises[index]
             else:
-                turns.append(Turn(job, now, promise.needs, True, len(job.runs), False))
+                turns.append(WaitingJob(job, now, promise.needs, True, len(job.runs), False))
         lasting = self._lasting()
         for index, since in sorted(book.waiting.items(), key=lambda entry: entry[1]):
             job = self._waits(index)
@@ -95,19 +95,19 @@
                 # of another idle for minutes.
                 continue
             own = any(count > book.resources[r].room(job.team) for r, count in needs.items())
-            turns.append(Turn(job, since, needs, False, len(job.runs), own))
+            turns.append(WaitingJob(job, since, needs, False, len(job.runs), own))
         return turns
 
     def _lasting(self) -> Counter[int]:
         """Seats of work that need never end, by resource."""
         lasting: Counter[int] = Counter()
-        for job in self._book.holding.values() if self._book.waiting else ():
+        for job in self._ledger.holding.values() if self._ledger.waiting else ():
             for number, count in job.counted_needs if job.service else ():
                 lasting[number] += count * len(job.runs)
         return lasting
 
     def _waits(self, index: int) -> Job | None:
-        job = self._book.cluster.jobs.get(index)
+        job = self._ledger.cluster.jobs.get(index)
         return None if job is None or not job.pending or job.status != OPEN else job
 
     @staticmethod
@@ -116,7 +116,7 @@
         tasks = len(job.pending) if job.gang else 1
         return {number: count * tasks for number, count in job.counted_needs}
 
-    def _yields(self, job: Job, turn: Turn) -> bool:
+    def _yields(self, job: Job, turn: WaitingJob) -> bool:
         """Must this job leave what is kept for that one?"""
         ranks = max(0, turn.job.rank - job.rank)
         waited = self._now - turn.since
@@ -146,28 +146,28 @@
 
     def _left(self, number: int) -> int:
         """Free seats, less what this pass has granted so far."""
-        return self._free[number] - (self._book.resources[number].held - self._held[number])
+        return self._free[number] - (self._ledger.resources[number].held - self._held[number])
 
-    def room(self, job: Job, most: int) -> int:
+    def max_tasks(self, job: Job, most: int) -> int:
         self._asked.setdefault(job.index, len(job.runs))
         for number, count in job.counted_needs:
             kept, of_team = self._kept(job, number)
-            resource = self._book.resources[number]
+            resource = self._ledger.resources[number]
             free = min(self._left(number) - kept, resource.room(job.team) - of_team)
             most = min(most, max(0, free) // count)
         return 0 if job.gang and most < len(job.pending) else most
 
-    def borrowed(self, job: Job) -> bool:
+    def would_borrow(self, job: Job) -> bool:
         tasks = len(job.pending) if job.gang else 1
-        resources = self._book.resources
+        resources = self._ledger.resources
         return any(
             any(resources[number].guarantee)
             and resources[number].borrows(job.team, count * tasks) > 0
             for number, count in job.counted_needs
         )
 
-    def unplaced(self, job: Job) -> None:
-        book = self._book
+    def no_machine_for(self, job: Job) -> None:
+        book = self._ledger
         since = book.ready.setdefault(job.index, self._now)
         if self._now - since > TURN_S:
             # It had its turn. What is kept for it any longer lies idle.
@@ -177,7 +177,7 @@
                 book.waiting[job.index] = self._now
 
     def close(self) -> None:
-        book = self._book
+        book = self._ledger
         for index, before in self._asked.items():
             job = self._waits(index)
             started = job is not None and len(job.runs) > before
@@ -190,9 +190,9 @@
 
     # -- whom to stop -----------------------------------------------------------------------
 
-    def surplus(self) -> list[TaskRun]:
+    def runs_to_stop(self) -> list[TaskRun]:
         chosen: list[TaskRun] = []
-        for number, resource in enumerate(self._book.resources):
+        for number, resource in enumerate(self._ledger.resources):
             definition = resource.definition
             if definition is None or definition.when_lowered != STOP:
                 continue
@@ -205,12 +205,12 @@
                 self._stop(some)
         return chosen
 
-    def short(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
+    def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
         self._lacking.add(job.index)
-        self._book.ready.pop(job.index, None)
-        if not urgent or job.index in self._book.promises or (job.gang and job.runs):
+        self._ledger.ready.pop(job.index, None)
+        if not urgent or job.index in self._ledger.promises or (job.gang and job.runs):
             return []
-        resources = self._book.resources
+        resources = self._ledger.resources
         most = min(resources[number].room(job.team) // count for number, count in job.counted_needs)
         step = tasks if job.gang else 1
         chosen: list[TaskRun] = []
@@ -225,8 +225,8 @@
             made += step
         if chosen:
             needs = {number: made * count for number, count in job.counted_needs}
-            grace = max(stop_grace(run) for run in chosen)
-            self._book.promises[job.index] = Promise(self._now + grace + PROMISE_S, needs)
+            grace = max(stop_grace_s(run) for run in chosen)
+            self._ledger.promises[job.index] = Commitment(self._now + grace + PROMISE_S, needs)
         return chosen
 
     def _room_for(self, job: Job, tasks: int) -> list[TaskRun] | None:
@@ -234,7 +234,7 @@
         chosen: list[TaskRun] = []
         freed: Counter[int] = Counter()
         for number, count in job.counted_needs:
-            resource = self._book.resources[number]
+            resource = self._ledger.resources[number]
             missing = count * tasks - self._open(job, number)
             missing -= self._spare_coming(number) + freed[number]
             if missing <= 0:
@@ -270,14 +270,14 @@
 
     def _borrowers(self, job: Job, number: int) -> set[int]:
         """Teams that hold beyond their guarantee what this job's team is owed."""
-        resource = self._book.resources[number]
+        resource = self._ledger.resources[number]
         teams = range(len(resource.teams))
         return {team for team in teams if team != job.team and resource.borrows(team) > 0}
 
     def _candidates(self, number: int, may: Callable[[TaskRun], bool]) -> Iterator[list[TaskRun]]:
         """Holders that may stop, a gang whole: the least urgent, then what loses least."""
         groups: list[list[TaskRun]] = []
-        for job, _ in self._book.holders(number):
+        for job, _ in self._ledger.holders(number):
             runs = [
                 run
                 for run in job.runs.values()
@@ -290,7 +290,7 @@
         now = self._now
 
         def cost(some: list[TaskRun]) -> tuple[int, float]:
-            return (-some[0].job.rank, sum(lost_work(run, now) for run in some) / len(some))
+            return (-some[0].job.rank, sum(lost_work_s(run, now) for run in some) / len(some))
 
         yield from sorted(groups, key=cost)
 
@@ -299,7 +299,7 @@
     def _stop(self, some: list[TaskRun]) -> None:
         coming = self._all_coming()
         for run in some:
-            run.stop_grace_s = stop_grace(run)
+            run.stop_grace_s = stop_grace_s(run)
             for number, count in run.job.counted_needs:
                 coming[number] += count
 
@@ -307,7 +307,7 @@
         """Seats of work that is being stopped, by resource."""
         if self._coming is None:
             self._coming = Counter()
-            for job in self._book.holding.values():
+            for job in self._ledger.holding.values():
                 stopping = sum(1 for run in job.runs.values() if run.stop_grace_s is not None)
                 for number, count in job.counted_needs if stopping else ():
                     self._coming[number] += count * stopping
--- a/appleshift/counted_resources/audit_log.py
+++ b/appleshift/counted_resources/audit_log.py
@@ -35,7 +35,7 @@
         self.places: dict[int, tuple[int, str]] = {}
 
 
-class Trail:
+class AuditLog:
     """Implements ``bookkeeping.records.Trail``.
 
     ``written``: how many entries the pages in the state service hold.
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from appleshift.counted_resources.license_reservation import Account
+from appleshift.counted_resources.license_reservation import LicenseReservation
 from appleshift.protocol.counted_resources import SeatDefinition, asked
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
@@ -25,30 +25,30 @@
     return f"{task}#{attempt}"
 
 
-class Resource:
+class CountedResource:
     """One counted resource."""
 
-    __slots__ = ("account", "definition", "guarantee", "held", "most", "name", "teams")
+    __slots__ = ("definition", "guarantee", "held", "name", "reservation", "team_limits", "teams")
 
     def __init__(
         self,
         name: str,
         definition: SeatDefinition | None,
         cluster: ClusterState,
-        account: Account | None,
+        account: LicenseReservation | None,
     ) -> None:
         self.name = name
         # None: a job names it that was accepted before its definition went.
         self.definition = definition
-        self.account = account
+        self.reservation = account
         self.held = 0
         self.teams = [0] * len(cluster.teams)
-        self.most = [0] * len(cluster.teams)
+        self.team_limits = [0] * len(cluster.teams)
         self.guarantee = [0] * len(cluster.teams)
         for team in definition.teams if definition is not None else ():
             number = cluster.team_names.get(team.name)
             if number >= 0:
-                self.most[number], self.guarantee[number] = team.most, team.guarantee
+                self.team_limits[number], self.guarantee[number] = team.most, team.guarantee
 
     @property
     def total(self) -> int:
@@ -56,25 +56,25 @@
 
     def capacity(self, now: float) -> int:
         """Seats that may be held at this moment."""
-        if self.account is None:
+        if self.reservation is None:
             return self.total
-        return min(self.total, self.account.capacity(now, self.total))
+        return min(self.total, self.reservation.capacity(now, self.total))
 
     def planning(self) -> int:
         """Seats that machines are worth renting for."""
-        if self.account is None or self.account.standing is None:
+        if self.reservation is None or self.reservation.standing is None:
             return self.total
-        standing = self.account.standing
+        standing = self.reservation.standing
         return min(self.total, max(standing.reserved, standing.total - standing.others))
 
     def free(self, now: float) -> int:
         """Below 0 while a lowered total or a silent server leaves too little."""
-        pending = 0 if self.account is None else self.account.pending()
+        pending = 0 if self.reservation is None else self.reservation.pending()
         return self.capacity(now) - self.held - pending
 
     def room(self, team: int) -> int:
         """What a team's own limit leaves."""
-        most = self.most[team]
+        most = self.team_limits[team]
         return max(0, most - self.teams[team]) if most else self.total
 
     def borrows(self, team: int, more: int = 0) -> int:
@@ -83,32 +83,32 @@
 
 
 @dataclass(slots=True)
-class Promise:
+class Commitment:
     """What was stopped for a job is its own, until some time."""
 
     until: float
     needs: dict[int, int]
 
 
-class Book:
+class Ledger:
     """All counted resources, by dense index."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self.names = NameIndex()
-        self.resources: list[Resource] = []
+        self.resources: list[CountedResource] = []
         # Jobs of which some task holds a seat, and of which some waits for one:
         # since when.
         self.holding: dict[int, Job] = {}
         self.waiting: dict[int, float] = {}
         # By job: since when its seats were there for the asking, without a machine.
         self.ready: dict[int, float] = {}
-        self.promises: dict[int, Promise] = {}
+        self.promises: dict[int, Commitment] = {}
 
-    def define(self, definition: SeatDefinition, account: Account | None) -> None:
+    def define(self, definition: SeatDefinition, account: LicenseReservation | None) -> None:
         number = self.names.add(definition.name)
         assert number == len(self.resources), "defined once a term, before jobs are read"
-        self.resources.append(Resource(definition.name, definition, self.cluster, account))
+        self.resources.append(CountedResource(definition.name, definition, self.cluster, account))
 
     # -- bookkeeping.tables.Counted ----------------------------------------------
 
@@ -122,7 +122,7 @@
         for name, count in sorted(wanted.items()):
             number = self.names.add(name)
             if number == len(self.resources):
-                self.resources.append(Resource(name, None, self.cluster, None))
+                self.resources.append(CountedResource(name, None, self.cluster, None))
             needs.append((number, count))
         return tuple(needs)
 
@@ -142,8 +142,8 @@
             if promise is not None:
                 promise.needs[number] = max(0, promise.needs.get(number, 0) - count)
             resource.teams[job.team] += count
-            if resource.account is not None:
-                resource.account.took(holder_name(run.name, run.attempt), count)
+            if resource.reservation is not None:
+                resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
 
     def freed(self, run: TaskRun) -> None:
         job = run.job
@@ -153,14 +153,14 @@
             resource = self.resources[number]
             resource.held -= count
             resource.teams[job.team] -= count
-            if resource.account is not None:
+            if resource.reservation is not None:
                 # A start that never left this process left no trace anywhere.
                 started = run.assignment_durable or not run.ordered_this_term
-                resource.account.gave(holder_name(run.name, run.attempt), count, started)
+                resource.reservation.checked_in(holder_name(run.name, run.attempt), count, started)
 
     # -- questions -------------------------------------------------------------------
 
-    def refusal(self, spec: Submission) -> tuple[int, str] | None:
+    def rejection(self, spec: Submission) -> tuple[int, str] | None:
         try:
             wanted = asked(spec.seats)
         except ProtocolError as error:
@@ -175,7 +175,7 @@
             once = count * tasks
             if once > resource.total:
                 return 422, f"seats: {once} of {name!r} at once, there are {resource.total}"
-            if 0 < resource.most[team] < once:
+            if 0 < resource.team_limits[team] < once:
                 return 422, f"seats: {once} of {name!r} is more than the team's limit"
         return None
 
@@ -188,14 +188,14 @@
                 found.append((job, count))
         return found
 
-    def allot(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
+    def allocate(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
         """Seats for jobs in their order of urgency, those that hold some first.
 
         Returns tasks by job and seats by resource: what can be in use at once.
         """
         left = [resource.planning() for resource in self.resources]
         team_left = [
-            [most or resource.total for most in resource.most] for resource in self.resources
+            [most or resource.total for most in resource.team_limits] for resource in self.resources
         ]
         tasks_of: dict[int, int] = {}
         used: Counter[int] = Counter()
@@ -240,14 +240,14 @@
                 {
                     "name": name,
                     "held": resource.teams[team],
-                    "most": resource.most[team],
+                    "most": resource.team_limits[team],
                     "guarantee": resource.guarantee[team],
                 }
                 for team, name in enumerate(names)
-                if resource.teams[team] or resource.most[team] or resource.guarantee[team]
+                if resource.teams[team] or resource.team_limits[team] or resource.guarantee[team]
             ],
             "jobs": [list(row) for row in holders],
         }
-        if resource.account is not None:
-            view["server"] = resource.account.view(now)
+        if resource.reservation is not None:
+            view["server"] = resource.reservation.view(now)
         return view
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from appleshift.contracts import events
-from appleshift.counted_resources.license_reservation import ANSWER_S, Ask
+from appleshift.counted_resources.license_reservation import ANSWER_S, PendingReservationRequest
 from appleshift.protocol import license_server
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError
@@ -20,7 +20,7 @@
 """Servers that are slow to answer must not keep the others waiting."""
 
 
-class LicenceCalls:
+class LicenseServerCalls:
     """Sends what the leader's accounts ask; the outcome comes back as an event."""
 
     def __init__(
@@ -39,13 +39,13 @@
         self._pool = Pool(routines, "licence-call", CALLS)
         self._clients: dict[str, Caller] = {}
 
-    def send(self, ask: Ask, term: Any) -> None:
+    def send(self, ask: PendingReservationRequest, term: Any) -> None:
         client = self._clients.get(ask.address)
         if client is None:
             client = self._clients[ask.address] = self._connect(split_address(ask.address))
         self._pool.submit(self._send, client, ask, term)
 
-    def _send(self, client: Caller, ask: Ask, term: Any) -> None:
+    def _send(self, client: Caller, ask: PendingReservationRequest, term: Any) -> None:
         standing: license_server.Standing | None = None
         try:
             if self._entitled():
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PendingReservationRequest:
     """A heartbeat to send. Its outcome comes back with its serial."""
 
     resource: str
@@ -43,7 +43,7 @@
     heartbeat: Heartbeat
 
 
-class Account:
+class LicenseReservation:
     """One resource's reservation, for one term."""
 
     def __init__(self, resource: str, server: LicenceServer, token: int) -> None:
@@ -70,10 +70,10 @@
 
     # -- what the count says ---------------------------------------------------------
 
-    def took(self, holder: str, count: int) -> None:
+    def checked_out(self, holder: str, count: int) -> None:
         self._holders[holder] = count
 
-    def gave(self, holder: str, count: int, started: bool) -> None:
+    def checked_in(self, holder: str, count: int, started: bool) -> None:
         self._holders.pop(holder, None)
         if started:
             self._return(holder, count)
@@ -119,13 +119,13 @@
             return False
         return now - self._asked_at >= self.server.ask_s * EAGER
 
-    def due(self, now: float, want: int) -> bool:
+    def request_due(self, now: float, want: int) -> bool:
         """Is it time for a heartbeat, since something changed or by itself?"""
         news = bool(self._returning or self._unsure)
         news = news or self.standing is None or want > self.standing.reserved
         return self.may_ask(now) and (news or now - self._asked_at >= self.server.ask_s)
 
-    def ask(self, now: float, want: int) -> Ask:
+    def next_request(self, now: float, want: int) -> PendingReservationRequest:
         """The next heartbeat; reserves ``want``, but no less than may be in use."""
         self._serial += 1
         self._asked_at = now
@@ -136,9 +136,9 @@
         settled = self._unsettled
         self._unsettled = reserve if settled is None else min(settled, reserve)
         self._asking = Heartbeat(ACCOUNT, self._serial, reserve, returned)
-        return Ask(self.resource, self.server.address, self._asking)
+        return PendingReservationRequest(self.resource, self.server.address, self._asking)
 
-    def told(self, serial: int, standing: Standing | None, now: float) -> bool:
+    def reply_received(self, serial: int, standing: Standing | None, now: float) -> bool:
         """The server's answer to a heartbeat, or None; true if it may free seats."""
         asked = self._asking
         if asked is None or asked.serial != serial:
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -10,10 +10,13 @@
 from collections.abc import Iterable
 from typing import Any
 
-from appleshift.counted_resources.allocator import Grants
-from appleshift.counted_resources.audit_log import Trail
-from appleshift.counted_resources.ledger import Book, holder_name
-from appleshift.counted_resources.license_reservation import Account, Ask
+from appleshift.counted_resources.allocator import Allocator
+from appleshift.counted_resources.audit_log import AuditLog
+from appleshift.counted_resources.ledger import Ledger, holder_name
+from appleshift.counted_resources.license_reservation import (
+    LicenseReservation,
+    PendingReservationRequest,
+)
 from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, from_record, to_record
 from appleshift.protocol.license_server import Standing
 from appleshift.protocol.operator import OperatorSettings
@@ -31,7 +34,7 @@
 """Jobs that an answer lists for each resource; 64 KiB must hold it."""
 
 
-class SeatsPart(Book):
+class CountedResourceScheduler(Ledger):
     """What is counted, and what goes to and comes from licence servers."""
 
     def __init__(
@@ -46,12 +49,12 @@
         super().__init__(replay.cluster)
         self.rules = rules
         self._journal = journal
-        self.trail = _trail_of(replay, journal)
-        journal.on_record_durable = self.trail.apply
+        self.audit_log = _trail_of(replay, journal)
+        journal.on_record_durable = self.audit_log.apply
         self._next_look = 0.0
         for definition in definitions:
             server = definition.server
-            account = None if server is None else Account(definition.name, server, token)
+            account = None if server is None else LicenseReservation(definition.name, server, token)
             self.define(definition, account)
             if replay.counted_resources.get(definition.name) != to_record(definition):
                 record = records.counted_resource_record(
@@ -62,27 +65,27 @@
             log.info("resource %s is no longer counted", name)
             journal.append(records.counted_resource_record(name, None, wall))
 
-    def adopt(self) -> None:
+    def begin_recovery(self) -> None:
         """Before assignments are recovered: from now on each of them counts."""
         self.cluster.counted_resources = self
         for job in self.cluster.jobs.values():
             if job.spec.seats is not None:
                 job.counted_needs = self.needs_of(job.spec)
 
-    def recovered(self) -> None:
+    def end_recovery(self) -> None:
         """After that: what the servers may not know to be given back."""
-        accounts = [each.account for each in self.resources if each.account is not None]
-        for name, attempt in self.trail.returns() if accounts else ():
+        accounts = [each.reservation for each in self.resources if each.reservation is not None]
+        for name, attempt in self.audit_log.returns() if accounts else ():
             for account in accounts:
                 account.returned_before(holder_name(name, attempt))
 
     # -- passes ------------------------------------------------------------------------
 
-    def begin(self, now: float) -> Grants:
-        return Grants(self, now, self.rules.starve_s)
+    def begin_pass(self, now: float) -> Allocator:
+        return Allocator(self, now, self.rules.starve_s)
 
-    def caps(self, jobs: Iterable[Job]) -> dict[int, int]:
-        return self.allot([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
+    def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
+        return self.allocate([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
 
     # -- time --------------------------------------------------------------------------
 
@@ -92,12 +95,12 @@
         self._next_look = now + LOOK_S
         return bool(self.waiting)
 
-    def asks(self, now: float) -> list[Ask]:
+    def reservation_requests(self, now: float) -> list[PendingReservationRequest]:
         """Heartbeats to licence servers that are due."""
         served = [
-            (number, resource.account)
+            (number, resource.reservation)
             for number, resource in enumerate(self.resources)
-            if resource.account is not None and resource.account.may_ask(now)
+            if resource.reservation is not None and resource.reservation.may_ask(now)
         ]
         if not served:
             return []
@@ -105,8 +108,8 @@
         found = []
         for number, account in served:
             want = min(self.resources[number].total, wanted[number])
-            if account.due(now, want):
-                found.append(account.ask(now, want))
+            if account.request_due(now, want):
+                found.append(account.next_request(now, want))
         return found
 
     def _wanted(self) -> Counter[int]:
@@ -117,15 +120,17 @@
                 wanted[number] += count * (len(job.runs) + len(job.pending))
         return wanted
 
-    def told(self, name: str, serial: int, standing: Standing | None, now: float) -> bool:
+    def license_server_answered(
+        self, name: str, serial: int, standing: Standing | None, now: float
+    ) -> bool:
         """A licence server's answer, or that there was none; true: look again."""
         number = self.names.get(name)
-        account = self.resources[number].account if number >= 0 else None
-        return account is not None and account.told(serial, standing, now)
+        account = self.resources[number].reservation if number >= 0 else None
+        return account is not None and account.reply_received(serial, standing, now)
 
     # -- durable ------------------------------------------------------------------------
 
-    def live(self) -> list[Record]:
+    def definition_records(self) -> list[Record]:
         # Time 0: no change, so no entry of the audit.
         return [
             records.counted_resource_record(each.name, to_record(each.definition), 0.0)
@@ -133,9 +138,9 @@
             if each.definition is not None
         ]
 
-    def audit(self) -> list[list[Any]]:
-        self.trail.saved(self._journal.header.audit_pages[2])
-        return list(self.trail.tail)
+    def unsaved_audit_entries(self) -> list[list[Any]]:
+        self.audit_log.saved(self._journal.header.audit_pages[2])
+        return list(self.audit_log.tail)
 
     @property
     def audit_pages(self) -> int:
@@ -144,10 +149,10 @@
     # -- to look at ------------------------------------------------------------------------
 
     def view(self, now: float) -> dict[str, Any]:
-        rows = [self.book_view(number, now) for number in range(len(self.resources))]
+        rows = [self.ledger_view(number, now) for number in range(len(self.resources))]
         return {"resources": rows, "starving_after_s": self.rules.starve_s}
 
-    def book_view(self, number: int, now: float) -> dict[str, Any]:
+    def ledger_view(self, number: int, now: float) -> dict[str, Any]:
         row = self.view_of(number, now)
         most = max(1, MAX_SHOWN // max(1, len(self.resources)))
         row["jobs_not_shown"] = max(0, len(row["jobs"]) - most)
@@ -158,25 +163,25 @@
         """The audit's entries above a number that no page holds yet, as many as an
         answer takes, and which pages hold what came before."""
         first, following, written = self._journal.header.audit_pages
-        self.trail.saved(written)
+        self.audit_log.saved(written)
         entries: list[list[Any]] = []
         size = 0
-        for entry in self.trail.tail:
+        for entry in self.audit_log.tail:
             if entry[0] <= after:
                 continue
             size += json_size(entry)
             if size > MAX_BODY // 2 and entries:
                 break
             entries.append(entry)
-        more = bool(entries) and entries[-1][0] + 1 < self.trail.next
+        more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
-def _trail_of(replay: LogReplayer, journal: WriteAheadLog) -> Trail:
+def _trail_of(replay: LogReplayer, journal: WriteAheadLog) -> AuditLog:
     """The trail that followed the log, or a new one where nothing was counted yet."""
-    if isinstance(replay.audit_log, Trail):
+    if isinstance(replay.audit_log, AuditLog):
         return replay.audit_log
-    trail = Trail(journal.header.audit_pages[2])
+    trail = AuditLog(journal.header.audit_pages[2])
     for job in replay.cluster.jobs.values():
         if job.spec.seats is not None:
             trail.apply(records.job_record(job))
@@ -191,7 +196,7 @@
     journal: WriteAheadLog,
     token: int,
     wall: float,
-) -> SeatsPart | None:
+) -> CountedResourceScheduler | None:
     """The counted resources of this term; None where nothing is counted.
 
     A file decides, where it says anything; else what the log has in force, so
@@ -211,6 +216,6 @@
         for team in definition.teams:
             if replay.cluster.team_names.get(team.name) < 0:
                 log.error("resource %s: no such team: %s", definition.name, team.name)
-    part = SeatsPart(definitions, rules, replay, journal, token, wall)
+    part = CountedResourceScheduler(definitions, rules, replay, journal, token, wall)
     # Without definitions it has written down that nothing is counted any more.
     return part if definitions else None
--- a/appleshift/heartbeat_ingest/fast_path.py
+++ b/appleshift/heartbeat_ingest/fast_path.py
@@ -22,55 +22,58 @@
 from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, HeartbeatHeader
 
 
-class Cell:
+class FastPathEntry:
     """Of one machine. The core writes ``known`` and ``before``, connections ``heard``; each
     is one object, so that nobody reads half of it."""
 
-    __slots__ = ("before", "heard", "known")
+    __slots__ = ("expected", "last_answered", "last_processed")
 
     def __init__(self) -> None:
         # (session, token, tasks as they were sent, answer); None: the core must see it.
-        self.known: tuple[int, int, bytes, bytes] | None = None
+        self.expected: tuple[int, int, bytes, bytes] | None = None
         # (time, session, number) of the last report that was answered here, and whether it
         # came so soon after the one before that the worker had the answer to that.
-        self.heard: tuple[float, int, int, bool] = (0.0, 0, -1, False)
+        self.last_answered: tuple[float, int, int, bool] = (0.0, 0, -1, False)
         # (time, session, number) of the last one that the core saw. Without it a copy of an
         # older report passed for a new one here.
-        self.before: tuple[float, int, int] = (0.0, 0, -1)
+        self.last_processed: tuple[float, int, int] = (0.0, 0, -1)
 
 
-class Express:
+class FastPath:
     """Of one term of a share."""
 
     def __init__(self) -> None:
-        self.cells: dict[str, Cell] = {}
+        self.entries: dict[str, FastPathEntry] = {}
 
-    def learn(
+    def remember(
         self, machine: str, known: tuple[int, int, bytes, bytes], at: float, seq: int
-    ) -> Cell:
+    ) -> FastPathEntry:
         """A report like this one, of that time and number, needs no more than this answer."""
-        cell = self.cells.get(machine)
+        cell = self.entries.get(machine)
         if cell is None:
-            cell = self.cells[machine] = Cell()
-        cell.before = (at, known[0], seq)
-        cell.known = known
+            cell = self.entries[machine] = FastPathEntry()
+        cell.last_processed = (at, known[0], seq)
+        cell.expected = known
         return cell
 
-    def answer(self, report: HeartbeatHeader, now: float) -> bytes | None:
+    def response_to(self, report: HeartbeatHeader, now: float) -> bytes | None:
         """The answer, if the report says nothing new; None: the core must see it.
 
         ``now`` was read before the caller made sure that it is entitled.
         """
-        cell = self.cells.get(report.machine)
-        known = None if cell is None else cell.known
+        cell = self.entries.get(report.machine)
+        known = None if cell is None else cell.expected
         if cell is None or known is None or report.reclaim_in_s is not None:
             return None
         session, token, tasks, answer = known
         if report.agent_epoch != session or report.fencing_token != token:
             return None
         number = (report.agent_epoch, report.seq)
-        last = max(cell.before[0], cell.heard[0])
-        if number <= max(cell.heard[1:3], cell.before[1:]) or bytes(report.tasks) != tasks:
+        last = max(cell.last_processed[0], cell.last_answered[0])
+        if (
+            number <= max(cell.last_answered[1:3], cell.last_processed[1:])
+            or bytes(report.tasks) != tasks
+        ):
             return None
-        cell.heard = (now, *number, now - last < HEARTBEAT_TIMEOUT_S)
+        cell.last_answered = (now, *number, now - last < HEARTBEAT_TIMEOUT_S)
         return answer
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -25,53 +25,53 @@
 
 log = logging.getLogger(__name__)
 
-CALLS = 4
-GATHER_S = 0.1
+CONCURRENT_CALLS = 4
+BATCH_WINDOW_S = 0.1
 """What arrives within this shares a call. Two reports a call, as with a fifth of
 this, cost both ends nearly what two calls do; nobody waits for a report but
 those whose end it tells, and orders go straight to workers."""
 BATCH_BYTES = 48 * 1024
-ANSWER_S = 3.0
+RESPONSE_TIMEOUT_S = 3.0
 """Workers wait 4 s for an answer."""
 
 Answer = tuple[int, bytes]
 NO_ANSWER: Answer = (503, encode({"error": "the leader does not answer"}))
 
 
-class _Waiting:
+class _PendingHeartbeat:
     __slots__ = ("body", "leader", "slot")
 
     def __init__(self, leader: str, body: bytes, slot: Any) -> None:
         self.leader, self.body, self.slot = leader, body, slot
 
 
-class Relay:
+class HeartbeatRelay:
     """One for each node; its routines start with the first report."""
 
     def __init__(self, siblings: dict[str, Caller], routines: Routines) -> None:
-        self._siblings = siblings
+        self._peer_clients = siblings
         self._routines = routines
-        self._pool = Pool(routines, "relay", CALLS)
+        self._pool = Pool(routines, "relay", CONCURRENT_CALLS)
         self._lock = threading.Lock()
-        self._waiting: deque[_Waiting] = deque()
+        self._waiting: deque[_PendingHeartbeat] = deque()
 
-    def pass_on(self, leader: str, body: bytes) -> Answer:
+    def forward(self, leader: str, body: bytes) -> Answer:
         """The leader's answer to a report; 503 without one in time."""
-        entry = _Waiting(leader, body, self._routines.mailbox())
+        entry = _PendingHeartbeat(leader, body, self._routines.mailbox())
         with self._lock:
             first = not self._waiting
             self._waiting.append(entry)
         if first:
             self._pool.submit(self._send)
         try:
-            answer: Answer = entry.slot.get(timeout=ANSWER_S + 2 * GATHER_S)
+            answer: Answer = entry.slot.get(timeout=RESPONSE_TIMEOUT_S + 2 * BATCH_WINDOW_S)
         except queue.Empty:
             return NO_ANSWER
         return answer
 
-    def _take(self) -> list[_Waiting]:
+    def _next_batch(self) -> list[_PendingHeartbeat]:
         """What goes into one call: reports for one leader, up to a size."""
-        taken: list[_Waiting] = []
+        taken: list[_PendingHeartbeat] = []
         size = 0
         with self._lock:
             while self._waiting:
@@ -86,15 +86,17 @@
         return taken
 
     def _send(self) -> None:
-        self._routines.sleep(GATHER_S)
-        batch = self._take()
+        self._routines.sleep(BATCH_WINDOW_S)
+        batch = self._next_batch()
         if not batch:
             return
         answers: list[Answer] = []
         try:
-            client = self._siblings[batch[0].leader]
+            client = self._peer_clients[batch[0].leader]
             body = encode(peers.HeartbeatBatch([msgspec.Raw(entry.body) for entry in batch]))
-            status, raw = client.request("POST", peers.HEARTBEAT_BATCH_PATH, body, ANSWER_S)
+            status, raw = client.request(
+                "POST", peers.HEARTBEAT_BATCH_PATH, body, RESPONSE_TIMEOUT_S
+            )
             if status == 200:
                 told = peers.decode_heartbeat_responses(raw).responses
                 answers = [(entry.status, bytes(entry.body)) for entry in told]
--- a/appleshift/heartbeat_ingest/relay_assignment.py
+++ b/appleshift/heartbeat_ingest/relay_assignment.py
@@ -11,26 +11,26 @@
 
 from collections.abc import Sequence
 
-STEPS = 16
+FRACTION_STEPS = 16
 """The share moves in steps, or each machine rented would move others."""
-ROOM = 0.95
+LEADER_FILL_SHARE = 0.95
 """Of its places, the leader fills so many before it sends machines elsewhere."""
 _SPAN = float(1 << 64)
 
 
-def place(machine: str, share: float, relays: Sequence[str]) -> str | None:
+def relay_for(machine: str, relayed_fraction: float, relays: Sequence[str]) -> str | None:
     """The relay that takes a machine's reports; None: the leader does."""
-    if not relays or share <= 0.0:
+    if not relays or relayed_fraction <= 0.0:
         return None
     # Only a fleet that one node cannot hear needs it.
     from xxhash import xxh3_64_intdigest as digest
 
-    if digest(machine.encode()) / _SPAN >= share:
+    if digest(machine.encode()) / _SPAN >= relayed_fraction:
         return None
     return max(relays, key=lambda name: (digest(f"{name}/{machine}".encode()), name))
 
 
-def share(machines: int, places: int, relays: int, current: float) -> float:
+def next_relayed_fraction(machines: int, places: int, relays: int, current: float) -> float:
     """The share of the machines that goes to relays, each with as many places
     as the leader.
 
@@ -39,17 +39,17 @@
     """
     if not relays or machines <= 0:
         return 0.0
-    over = 1.0 - places * ROOM / machines
+    over = 1.0 - places * LEADER_FILL_SHARE / machines
     # All nodes alike full is the most there is to gain.
     wanted = min(max(0.0, over), relays / (relays + 1.0))
-    steps = -int(-wanted * STEPS // 1)
-    now = round(current * STEPS)
+    steps = -int(-wanted * FRACTION_STEPS // 1)
+    now = round(current * FRACTION_STEPS)
     if steps > now or steps < now - 1:
         now = steps
-    return now / STEPS
+    return now / FRACTION_STEPS
 
 
-def audible(places: int, relays: int) -> int:
+def max_machines(places: int, relays: int) -> int:
     """Machines that all nodes together can hear, also without one of the relays:
     what nobody hears after a fall would be rented anew."""
     return places * (1 + max(0, relays - 1))
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -11,7 +11,7 @@
 from appleshift.machines.health import MachineHealth
 from appleshift.node_limits.node_limits import NodeLimits, TimeBudget
 from appleshift.placement.first_fit import Shortage
-from appleshift.placement.fit import stop_grace
+from appleshift.placement.fit import stop_grace_s
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine, MachineType
 from appleshift.protocol.users import Submission
@@ -161,7 +161,7 @@
         assert machine.reclaim_at is not None
         left = machine.reclaim_at - self.core.now
         for run in list(machine.runs.values()):
-            grace = stop_grace(run)
+            grace = stop_grace_s(run)
             if grace > 0 and run.stop_grace_s is None and left < 3.0 * grace + 6.0:
                 if run.job.gang:
                     self.core.stop_gang(run.job, grace, "notice")
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -12,7 +12,7 @@
 
 from appleshift.contracts.actions import ProbeMachine
 from appleshift.contracts.interfaces import FleetView
-from appleshift.placement.fit import zone_room
+from appleshift.placement.fit import remaining_per_zone
 from appleshift.state.cluster_state import EXITED, UP, Job, Machine
 
 log = logging.getLogger(__name__)
@@ -203,7 +203,7 @@
         """The share of a job's replicas in a zone that may start in others."""
         if job.zone == zone:
             return 0.0
-        rooms = zone_room(self._cluster, job)
+        rooms = remaining_per_zone(self._cluster, job)
         if rooms is None:
             return 1.0
         here = sum(run.machine.zone == zone for run in job.runs.values())
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -119,7 +119,7 @@
             self.workers.is_reachable,
             routines,
             self.store,
-            lambda: relay_assignment.audible(capacity.machines, len(self.election.relays())),
+            lambda: relay_assignment.max_machines(capacity.machines, len(self.election.relays())),
             self._hello,
             self._map,
             lambda: self._connections() > CROWDED * capacity.connections,
@@ -332,8 +332,8 @@
         elif self.operator.spread_reports and now - self._relayed_at < RELAYS_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        core.fleet.set_max_machines(relay_assignment.audible(places, relays))
-        share = relay_assignment.share(
+        core.fleet.set_max_machines(relay_assignment.max_machines(places, relays))
+        share = relay_assignment.next_relayed_fraction(
             len(core.cluster.machines), places, relays, self.election.relayed_fraction
         )
         if share != self.election.relayed_fraction:
--- a/appleshift/objectives/achieved.py
+++ b/appleshift/objectives/achieved.py
@@ -19,8 +19,8 @@
 import logging
 from dataclasses import dataclass
 
-from appleshift.objectives.objectives import Aims, Due
-from appleshift.objectives.sliding_ratio import Parts
+from appleshift.objectives.objectives import ObjectiveDeadline, Objectives
+from appleshift.objectives.sliding_ratio import SlidingRatio
 from appleshift.state.cluster_state import CANCELLED, FINISHED, ClusterState, Job
 
 log = logging.getLogger(__name__)
@@ -41,108 +41,108 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _TrackedJob:
     """A job that is not over, with the aims that are not decided yet."""
 
     job: Job
-    open: list[Due]
+    open: list[ObjectiveDeadline]
     missed: bool = False
     judged: bool = False
     started: bool = False
 
 
-class Served:
+class AchievedObjectives:
     """Of one term of a share; the core's routine asks and writes it."""
 
-    def __init__(self, cluster: ClusterState, aims: Aims, now: float, wall: float) -> None:
+    def __init__(self, cluster: ClusterState, aims: Objectives, now: float, wall: float) -> None:
         self._cluster = cluster
         self._aims = aims
-        self._next_look = now
-        self._next_say = now + SAY_S
-        self._seen: dict[int, _Seen] = {}
-        self._parts = Parts(now)
+        self._next_check = now
+        self._next_log = now + SAY_S
+        self._tracked: dict[int, _TrackedJob] = {}
+        self._ratios = SlidingRatio(now)
         self._began = wall
 
     # -- looking -----------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> None:
-        if now < self._next_look:
+        if now < self._next_check:
             return
-        self._next_look = now + LOOK_S
-        self._parts.turn(now)
+        self._next_check = now + LOOK_S
+        self._ratios.rotate(now)
         jobs = self._cluster.jobs
         for index, job in jobs.items():
-            seen = self._seen.get(index)
+            seen = self._tracked.get(index)
             if seen is None:
                 if not job.accepted or job.key != job.spec.id:
                     # A portion is judged with its whole, where that is.
                     continue
-                seen = self._seen[index] = self._take_in(job)
-            self._look(seen, now, wall)
-        for index in [index for index in self._seen if index not in jobs]:
-            self._over(self._seen.pop(index), wall)
-        self._compare()
-        if now >= self._next_say:
-            self._next_say = now + SAY_S
-            self._say()
-
-    def _take_in(self, job: Job) -> _Seen:
-        seen = _Seen(job, self._aims.due(job, START_S))
+                seen = self._tracked[index] = self._track(job)
+            self._check_deadlines(seen, now, wall)
+        for index in [index for index in self._tracked if index not in jobs]:
+            self._job_ended(self._tracked.pop(index), wall)
+        self._compare_teams()
+        if now >= self._next_log:
+            self._next_log = now + SAY_S
+            self._log_low_ratios()
+
+    def _track(self, job: Job) -> _TrackedJob:
+        seen = _TrackedJob(job, self._aims.deadlines(job, START_S))
         if job.submitted < self._began and job.last_attempt > 0:
             # It started in an earlier term, and nobody here knows when.
             seen.started = True
-            seen.open = [due for due in seen.open if not due.started]
+            seen.open = [due for due in seen.open if not due.concerns_start]
         return seen
 
-    def _look(self, seen: _Seen, now: float, wall: float) -> None:
+    def _check_deadlines(self, seen: _TrackedJob, now: float, wall: float) -> None:
         job = seen.job
         if not seen.started and job.last_attempt > 0:
             since = [run.running_since for run in job.runs.values() if run.running_since]
             if since or job.done_count:
                 seen.started = True
-                self._came(seen, wall - now + min(since, default=now), started=True)
+                self._job_reached(seen, wall - now + min(since, default=now), started=True)
         if job.status == FINISHED:
-            self._came(seen, wall, started=False)
-        for due in [due for due in seen.open if due.at < wall]:
+            self._job_reached(seen, wall, started=False)
+        for due in [due for due in seen.open if due.due_at < wall]:
             self._decide(seen, due, False)
         if not seen.open:
             self._judge(seen)
 
-    def _over(self, seen: _Seen, wall: float) -> None:
+    def _job_ended(self, seen: _TrackedJob, wall: float) -> None:
         if seen.job.status == CANCELLED:
             # Its user wants it no more: what was open is not judged.
             if not seen.job.service or not seen.started:
                 return
             seen.open.clear()
-        self._came(seen, wall, started=True)
-        self._came(seen, wall, started=False)
+        self._job_reached(seen, wall, started=True)
+        self._job_reached(seen, wall, started=False)
         self._judge(seen)
 
-    def _came(self, seen: _Seen, at: float, started: bool) -> None:
+    def _job_reached(self, seen: _TrackedJob, at: float, started: bool) -> None:
         """It started, or ended, at a time: all aims about that are decided."""
-        for due in [due for due in seen.open if due.started == started]:
-            self._decide(seen, due, at <= due.at)
+        for due in [due for due in seen.open if due.concerns_start == started]:
+            self._decide(seen, due, at <= due.due_at)
 
-    def _decide(self, seen: _Seen, due: Due, well: bool) -> None:
+    def _decide(self, seen: _TrackedJob, due: ObjectiveDeadline, well: bool) -> None:
         seen.open.remove(due)
         seen.missed = seen.missed or (due.loosest and not well)
-        self._parts.add(("class", seen.job.spec.job_class, due.label), well)
+        self._ratios.record(("class", seen.job.spec.job_class, due.label), well)
 
-    def _judge(self, seen: _Seen) -> None:
+    def _judge(self, seen: _TrackedJob) -> None:
         if not seen.judged:
             seen.judged = True
-            self._parts.add(("team", seen.job.spec.team), not seen.missed)
+            self._ratios.record(("team", seen.job.spec.team), not seen.missed)
 
     # -- what follows -----------------------------------------------------------------
 
-    def parts(self) -> dict[tuple[str, ...], tuple[float, int]]:
+    def ratios(self) -> dict[tuple[str, ...], tuple[float, int]]:
         """By ("class", name, aim) and ("team", name): the part served, and of how many."""
-        return {key: (part, total) for key, part, total in self._parts.all() if total >= FEW}
+        return {key: (part, total) for key, part, total in self._ratios.all() if total >= FEW}
 
-    def _compare(self) -> None:
-        parts = {key[1]: part for key, (part, _) in self.parts().items() if key[0] == "team"}
+    def _compare_teams(self) -> None:
+        parts = {key[1]: part for key, (part, _) in self.ratios().items() if key[0] == "team"}
         best = max(parts.values(), default=0.0)
-        behind = self._aims.behind
+        behind = self._aims.teams_behind
         for number, team in enumerate(self._cluster.teams):
             name = team.limits.name
             part = parts.get(name, 1.0)
@@ -153,10 +153,10 @@
                 behind.add(number)
                 log.warning("team %s has %.2f of its jobs served: it goes first", name, part)
 
-    def _say(self) -> None:
+    def _log_low_ratios(self) -> None:
         low = [
             f"{' '.join(key)} {part:.2f} of {total}"
-            for key, (part, total) in self.parts().items()
+            for key, (part, total) in self.ratios().items()
             if part < LOW
         ]
         if low:
--- a/appleshift/objectives/sliding_ratio.py
+++ b/appleshift/objectives/sliding_ratio.py
@@ -8,7 +8,7 @@
 """What is counted is between one and two of these old, or younger."""
 
 
-class Parts:
+class SlidingRatio:
     """For each key: of so many, so many were well."""
 
     def __init__(self, now: float) -> None:
@@ -16,14 +16,14 @@
         self._now: dict[tuple[str, ...], list[int]] = {}
         self._before: dict[tuple[str, ...], list[int]] = {}
 
-    def add(self, key: tuple[str, ...], well: bool) -> None:
+    def record(self, key: tuple[str, ...], well: bool) -> None:
         found = self._now.get(key)
         if found is None:
             found = self._now[key] = [0, 0]
         found[0] += well
         found[1] += 1
 
-    def turn(self, now: float) -> None:
+    def rotate(self, now: float) -> None:
         """Forget what is too old."""
         if now - self._began >= WINDOW_S:
             self._before = self._now if now - self._began < 2 * WINDOW_S else {}
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from appleshift.placement.counted_resources import Seats
+from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
 from appleshift.state.cluster_state import ClusterState, type_fits
 
 
-def refusal(cluster: ClusterState, spec: Submission, seats: Seats | None) -> tuple[int, str] | None:
+def rejection(
+    cluster: ClusterState, spec: Submission, seats: CountedResources | None
+) -> tuple[int, str] | None:
     """Why a submission can never run (422), is malformed (400), or cannot be
     judged yet (503); None: it can be taken."""
     if not cluster.types:
@@ -24,4 +26,4 @@
     tasks = 1 if spec.shape == users.ARRAY else spec.tasks
     if not cluster.teams[team].can_ever_fit(spec.cpus * tasks, spec.gpus * tasks):
         return 422, "more than the team's limit"
-    return None if seats is None else seats.refusal(spec)
+    return None if seats is None else seats.rejection(spec)
--- a/appleshift/placement/counted_resources.py
+++ b/appleshift/placement/counted_resources.py
@@ -13,26 +13,26 @@
 from appleshift.storage.records import Record
 
 
-class SeatPass(Protocol):
+class CountedResourcePass(Protocol):
     """Seats in one placement pass."""
 
-    def surplus(self) -> list[TaskRun]:
+    def runs_to_stop(self) -> list[TaskRun]:
         """Whom a lowered total stops; their grace is set."""
         ...
 
-    def borrowed(self, job: Job) -> bool:
+    def would_borrow(self, job: Job) -> bool:
         """Would its next task take its team beyond a guarantee?"""
         ...
 
-    def room(self, job: Job, most: int) -> int:
+    def max_tasks(self, job: Job, most: int) -> int:
         """How many of a job's tasks may hold what they need now, ``most`` at most."""
         ...
 
-    def short(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
+    def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
         """So many tasks wait for seats; ``urgent``: whom to stop for them."""
         ...
 
-    def unplaced(self, job: Job) -> None:
+    def no_machine_for(self, job: Job) -> None:
         """It has its seats for the asking, and no machine."""
         ...
 
@@ -41,24 +41,24 @@
         ...
 
 
-class Seats(CountedResourceTracker, Protocol):
+class CountedResources(CountedResourceTracker, Protocol):
     """Part of the core: everything counted, for one term."""
 
-    def adopt(self) -> None:
+    def begin_recovery(self) -> None:
         """From now on whatever is assigned counts: what is recovered, first of all."""
         ...
 
-    def recovered(self) -> None:
+    def end_recovery(self) -> None:
         """All that may be on machines has been counted."""
         ...
 
-    def refusal(self, spec: Submission) -> tuple[int, str] | None:
+    def rejection(self, spec: Submission) -> tuple[int, str] | None:
         """Why a submission cannot be taken: status and reason."""
         ...
 
-    def begin(self, now: float) -> SeatPass: ...
+    def begin_pass(self, now: float) -> CountedResourcePass: ...
 
-    def caps(self, jobs: Iterable[Job]) -> dict[int, int]:
+    def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
         """By job: how many of its tasks can hold their seats at once, if all goes well."""
         ...
 
@@ -66,11 +66,11 @@
         """Do what is due; true if a placement pass may find more than before."""
         ...
 
-    def live(self) -> list[Record]:
+    def definition_records(self) -> list[Record]:
         """Records that rebuild the definitions, for a snapshot."""
         ...
 
-    def audit(self) -> list[list[Any]]:
+    def unsaved_audit_entries(self) -> list[list[Any]]:
         """What the trail holds since the last snapshot."""
         ...
 
@@ -79,11 +79,11 @@
         """How many pages of the trail are kept."""
         ...
 
-    def asks(self, now: float) -> list[Any]:
+    def reservation_requests(self, now: float) -> list[Any]:
         """What licence servers are to be asked now."""
         ...
 
-    def told(self, name: str, serial: int, standing: Any, now: float) -> bool:
+    def license_server_answered(self, name: str, serial: int, standing: Any, now: float) -> bool:
         """What one answered, None for nothing; true if more may be granted."""
         ...
 
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -9,7 +9,7 @@
 from appleshift.state.cluster_state import EPSILON, ClusterState, Job, TaskRun
 
 
-class Size(Protocol):
+class TaskGroupSize(Protocol):
     """So many tasks, and what each of them takes."""
 
     @property
@@ -22,7 +22,7 @@
     def memory_gb(self) -> float: ...
 
 
-def how_many(cpus: float, gpus: float, memory_gb: float, spec: Size) -> int:
+def tasks_that_fit(cpus: float, gpus: float, memory_gb: float, spec: TaskGroupSize) -> int:
     """How many of a job's tasks fit into some room."""
     most = spec.tasks
     for free, need in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory_gb)):
@@ -31,7 +31,7 @@
     return most
 
 
-def zone_room(cluster: ClusterState, job: Job) -> dict[int, int] | None:
+def remaining_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
     """How many more tasks each zone may take; None: no limit."""
     spec = job.spec
     if not spec.spread:
@@ -41,13 +41,13 @@
     return {zone: most - taken[zone] for zone in range(len(cluster.zones))}
 
 
-def stop_grace(run: TaskRun) -> float:
+def stop_grace_s(run: TaskRun) -> float:
     """Time that a task needs to save when it is stopped."""
     spec = run.job.spec
     return spec.save_s if spec.checkpoint_s > 0 else 0.0
 
 
-def lost_work(run: TaskRun, now: float) -> float:
+def lost_work_s(run: TaskRun, now: float) -> float:
     """Run time that a stop wastes: what could not be saved, and the stopping."""
     spec = run.job.spec
     if spec.checkpoint_s > 0:
@@ -55,7 +55,7 @@
     return max(0.0, now - run.running_since) if run.running_since else 0.0
 
 
-class Failures:
+class FailedNeeds:
     """Needs that found no room in this pass, by where the work may go.
 
     Room only shrinks while a pass goes on, so whatever needs at least as much
@@ -69,7 +69,7 @@
     def add(self, key: tuple[object, ...], spec: Submission, tasks: int = 1) -> None:
         self._needs.setdefault(key, []).append((spec, tasks))
 
-    def cover(self, key: tuple[object, ...], spec: Submission, tasks: int = 1) -> bool:
+    def covers(self, key: tuple[object, ...], spec: Submission, tasks: int = 1) -> bool:
         return any(
             most <= tasks
             and failed.cpus <= spec.cpus
@@ -79,7 +79,7 @@
         )
 
 
-def ends_anywhere(job: Job) -> bool:
+def may_run_beside_gpus(job: Job) -> bool:
     """Work without cards that ends and is bound to nothing: it may use what machines with
     cards have left, for a replica would keep a dear machine for good."""
     spec = job.spec
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -11,11 +11,11 @@
 from typing import Protocol
 
 from appleshift.placement.fit import (
-    Failures,
-    how_many,
-    lost_work,
-    stop_grace,
-    zone_room,
+    FailedNeeds,
+    lost_work_s,
+    remaining_per_zone,
+    stop_grace_s,
+    tasks_that_fit,
 )
 from appleshift.protocol.users import Submission
 from appleshift.state.cluster_state import (
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Room:
+class _FreeableRoom:
     """What a machine has free or will have, and whom it could stop."""
 
     cpus: float
@@ -61,14 +61,14 @@
         return True
 
 
-class PassView(Protocol):
+class PlacementPassView(Protocol):
     """The placement pass that asks whom to stop."""
 
     cluster: ClusterState
     now: float
     pools: dict[tuple[int, int, bool], list[Machine]]
 
-    def place_key(self, job: Job) -> tuple[object, ...]: ...
+    def placement_key(self, job: Job) -> tuple[object, ...]: ...
 
     def allowed(self, job: Job, cards: bool = False) -> Iterator[Machine]: ...
 
@@ -76,18 +76,18 @@
 
     def within_guarantee(self, job: Job) -> bool: ...
 
-    def late(self, job: Job) -> int: ...
+    def is_late(self, job: Job) -> int: ...
 
 
 class Preemption:
     """The victims of one placement pass."""
 
-    def __init__(self, placer: PassView) -> None:
+    def __init__(self, placer: PlacementPassView) -> None:
         self._placer = placer
         self._cluster = placer.cluster
-        self._rooms: dict[int, _Room] = {}
+        self._rooms: dict[int, _FreeableRoom] = {}
         self._least_beside: int | None = None
-        self._failed = Failures()
+        self._failed = FailedNeeds()
 
     def _least_urgent(self, cards: bool) -> int:
         """No task that could be stopped is less urgent than this rank."""
@@ -112,10 +112,10 @@
             if self._cluster.types[kind].gpus > 0:
                 yield from machines
 
-    def _room(self, machine: Machine) -> _Room:
+    def _room(self, machine: Machine) -> _FreeableRoom:
         room = self._rooms.get(machine.index)
         if room is None:
-            room = _Room(machine.free_cpus, machine.free_gpus, machine.free_memory)
+            room = _FreeableRoom(machine.free_cpus, machine.free_gpus, machine.free_memory)
             for run in machine.runs.values():
                 if run.state == EXITED:
                     continue
@@ -143,7 +143,7 @@
         if not self._guaranteed(job) and self._least_urgent(job.spec.gpus > 0) <= job.rank:
             return []
         # Whom two jobs may stop is the same if all of this is.
-        key = (job.rank, job.gang, frozenset(borrowers), *self._placer.place_key(job))
+        key = (job.rank, job.gang, frozenset(borrowers), *self._placer.placement_key(job))
         if self._hopeless(job, key, missing):
             return []
         if job.gang:
@@ -151,7 +151,7 @@
             if whole is None and not job.avoided_machines:
                 self._failed.add(key, job.spec, missing)
             return whole or []
-        rooms = zone_room(self._cluster, job)
+        rooms = remaining_per_zone(self._cluster, job)
         useful: list[Machine] = []
         for machine in self._placer.allowed(job):
             room = self._room(machine)
@@ -179,7 +179,7 @@
         """Room for replicas on some of these machines, one on each, and who stops."""
         if self._cluster.max_rank_on_machines() <= job.rank:
             return 0, []
-        rooms = zone_room(self._cluster, job)
+        rooms = remaining_per_zone(self._cluster, job)
         made = 0
         chosen: list[TaskRun] = []
         for machine in self._placer.first_fit(job, machines):
@@ -199,7 +199,7 @@
 
     def _hopeless(self, job: Job, key: tuple[object, ...], missing: int) -> bool:
         """Nobody could be stopped for as urgent work that needs no more."""
-        return self._failed.cover(key, job.spec, missing if job.gang else 1)
+        return self._failed.covers(key, job.spec, missing if job.gang else 1)
 
     def _guaranteed(self, job: Job) -> bool:
         """Might a guarantee, too, make room for this job or for one after it?
@@ -240,13 +240,13 @@
             some = self._gang_plan(job, machines, missing, borrowers)
             if some is not None:
                 plans.append(
-                    (sum(lost_work(run, self._placer.now) for run in some), some, machines)
+                    (sum(lost_work_s(run, self._placer.now) for run in some), some, machines)
                 )
         if not plans:
             return None
         _, chosen, machines = min(plans, key=lambda plan: plan[0])
         for run in chosen:
-            run.stop_grace_s = stop_grace(run)
+            run.stop_grace_s = stop_grace_s(run)
             room = self._room(run.machine)
             if run in room.runs:
                 room.runs.remove(run)
@@ -263,8 +263,8 @@
         """Whom to stop so that the whole gang fits on these machines; None: it cannot."""
         spec = job.spec
 
-        def fit(room: _Room) -> int:
-            return how_many(room.cpus, room.gpus, room.memory_gb, spec)
+        def fit(room: _FreeableRoom) -> int:
+            return tasks_that_fit(room.cpus, room.gpus, room.memory_gb, spec)
 
         # A gang that loses one task stops whole: count all of it, once.
         groups: dict[tuple[int, int], list[TaskRun]] = {}
@@ -276,7 +276,7 @@
             if room.least <= job.rank and not borrowers:
                 continue
             for run in room.runs:
-                if self._may_stop(job, run, borrowers):
+                if self._may_preempt(job, run, borrowers):
                     whole = (run.job.index, -1 if run.job.gang else run.task)
                     groups.setdefault(whole, []).append(run)
         if missing <= 0:
@@ -293,7 +293,7 @@
         def cost(some: list[TaskRun]) -> tuple[int, float]:
             victim = some[0].job
             whole = victim.runs.values() if victim.gang else some
-            return (-victim.rank, sum(lost_work(run, now) for run in whole) / len(some))
+            return (-victim.rank, sum(lost_work_s(run, now) for run in whole) / len(some))
 
         chosen: list[TaskRun] = []
         for some in sorted(groups.values(), key=cost):
@@ -312,10 +312,10 @@
     ) -> tuple[int, list[TaskRun]]:
         """Room for up to ``most`` tasks on one machine, and who stops for it."""
         room = self._room(machine)
-        able = [run for run in room.runs if self._may_stop(job, run, borrowers)]
+        able = [run for run in room.runs if self._may_preempt(job, run, borrowers)]
         # Of the least urgent work, what loses least; if equal, what is late anyway.
-        now, late = self._placer.now, self._placer.late
-        able.sort(key=lambda run: (-run.rank, lost_work(run, now), -late(run.job)))
+        now, late = self._placer.now, self._placer.is_late
+        able.sort(key=lambda run: (-run.rank, lost_work_s(run, now), -late(run.job)))
         made = 0
         stopped: list[TaskRun] = []
         while made < most:
@@ -340,7 +340,7 @@
             else:
                 break
             for run in some:
-                run.stop_grace_s = stop_grace(run)
+                run.stop_grace_s = stop_grace_s(run)
                 able.remove(run)
                 room.runs.remove(run)
                 room.stopping = True
@@ -349,14 +349,14 @@
         return made, stopped
 
     @staticmethod
-    def _may_stop(job: Job, run: TaskRun, borrowers: set[int]) -> bool:
+    def _may_preempt(job: Job, run: TaskRun, borrowers: set[int]) -> bool:
         other = run.job
-        if in_no_way(job.spec, run):
+        if does_not_block(job.spec, run):
             return False
         return run.rank > job.rank or other.team in borrowers
 
 
-def in_no_way(spec: Submission, run: TaskRun) -> bool:
+def does_not_block(spec: Submission, run: TaskRun) -> bool:
     """Work beside cards leaves them what they need: while no card is free,
     ending it gives work with cards nothing."""
     return spec.gpus > 0 and run.job.spec.gpus <= 0 and run.machine.free_gpus + EPSILON < spec.gpus
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -11,7 +11,7 @@
 import logging
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.placement.fit import zone_room
+from appleshift.placement.fit import remaining_per_zone
 from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, TaskRun
 
 log = logging.getLogger(__name__)
@@ -106,7 +106,7 @@
             return False
         if job.spec.together and machine.zone != run.machine.zone:
             return False
-        rooms = zone_room(self.cluster, job)
+        rooms = remaining_per_zone(self.cluster, job)
         same = machine.zone == run.machine.zone
         return rooms is None or rooms[machine.zone] + same > 0
 
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -8,7 +8,7 @@
 
 from appleshift.contracts.interfaces import CapacityNeed, FleetView
 from appleshift.placement.first_fit import Shortage
-from appleshift.placement.fit import how_many, zone_room
+from appleshift.placement.fit import remaining_per_zone, tasks_that_fit
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import MachineType
 from appleshift.provisioning.planner import CapacityPlan, SpotMarket, find_plan, machines_for
@@ -24,7 +24,7 @@
 def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
     """Work that found no room, with where there may be any for it."""
     job, spec = shortage.job, shortage.job.spec
-    rooms = zone_room(cluster, job)
+    rooms = remaining_per_zone(cluster, job)
     zones = [
         zone
         for zone in range(len(cluster.zones))
@@ -102,7 +102,7 @@
             return total, fixed
         steady = cluster.types[self.on_demand_type]
         seats = self.fleet.core.counted_resources
-        caps = seats.caps(cluster.jobs.values()) if seats is not None else {}
+        caps = seats.capped_tasks(cluster.jobs.values()) if seats is not None else {}
         for job in cluster.jobs.values():
             spec = job.spec
             if job.status != OPEN or (spec.gpus > 0) != self.gpus:
@@ -351,7 +351,7 @@
     def _tasks_per_machine(self, kind: int, need: CapacityNeed) -> int:
         """How many of its tasks an empty machine of a type takes."""
         offer = self.fleet.cluster.types[kind]
-        return how_many(offer.cpus, offer.gpus, offer.memory_gb, need)
+        return tasks_that_fit(offer.cpus, offer.gpus, offer.memory_gb, need)
 
     def _rent_for(self, need: CapacityNeed, tasks: int) -> None:
         """Rent the cheapest machines on which these tasks may run."""
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.placement.fit import ends_anywhere
+from appleshift.placement.fit import may_run_beside_gpus
 from appleshift.protocol import cloud
 
 MAX_PRICE_RATIO = 2.0
@@ -24,7 +24,7 @@
     if fleet.core.sharing is not None or not cluster.spot_gpus_unclaimed():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
-    if not any(job.spec.spot and ends_anywhere(job) for job in jobs):
+    if not any(job.spec.spot and may_run_beside_gpus(job) for job in jobs):
         return
     plain = cluster.types[steady]
     for index, kind in enumerate(cluster.types):
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from appleshift.contracts.interfaces import SchedulerView, ShardingView
-from appleshift.placement.admission import refusal
+from appleshift.placement.admission import rejection
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
 from appleshift.state.cluster_state import CANCELLED, FINISHED, FORWARDED, OPEN, Job
@@ -79,7 +79,7 @@
             else:
                 self._reply_unless_stalled(slot, 200, users.state_body(spec.id, users.PENDING))
             return
-        wrong = refusal(cluster, spec, core.counted_resources)
+        wrong = rejection(cluster, spec, core.counted_resources)
         if wrong is not None:
             # Also in an outage: nothing has to be written to refuse it.
             core.reply(slot, wrong[0], users.error_body(wrong[1]), 1 if wrong[0] == 503 else 0)
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -15,14 +15,14 @@
 from appleshift.contracts.actions import Action, DeleteMachines, Reply
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
 from appleshift.dispatch.worker_commands import RESEND_INTERVAL_S, WorkerCommands
-from appleshift.heartbeat_ingest.fast_path import Express
+from appleshift.heartbeat_ingest.fast_path import FastPath
 from appleshift.machines.fleet import Fleet
 from appleshift.machines.liveness import MachineLiveness
 from appleshift.node_limits.node_limits import TimeBudget
-from appleshift.objectives.objectives import Aims
-from appleshift.placement.counted_resources import Seats
-from appleshift.placement.first_fit import Placer
-from appleshift.placement.fit import stop_grace
+from appleshift.objectives.objectives import Objectives
+from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.first_fit import FirstFitPlacer
+from appleshift.placement.fit import stop_grace_s
 from appleshift.protocol import cloud, users, workers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
@@ -82,7 +82,7 @@
         journal: WriteAheadLog,
         clock: Callable[[], float],
         wall: float,
-        seats: Seats | None = None,
+        seats: CountedResources | None = None,
         sharing: ShardingView | None = None,
     ) -> None:
         self.settings = settings
@@ -109,9 +109,9 @@
         self.unsaved_final_states = list(replay.unsaved_final_states)
         self.worker_lease_s = settings.deployment.workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         self.commands = WorkerCommands(self)
-        self.objectives = Aims(settings.deployment.objectives)
+        self.objectives = Objectives(settings.deployment.objectives)
         self._pending_deletions: list[str] = []
-        self.fast_path = Express()
+        self.fast_path = FastPath()
         self._waiting_replies: dict[int, Any] = {}
         self.is_stalled = False
         self.liveness = MachineLiveness(self)
@@ -125,7 +125,7 @@
         """Known assignments stay where they are until there is proof."""
         cluster = self.cluster
         if self.counted_resources is not None:
-            self.counted_resources.adopt()
+            self.counted_resources.begin_recovery()
         for (index, task), (attempt, name, session) in replay.task_locations.items():
             job = cluster.jobs.get(index)
             machine = cluster.machine(name)
@@ -139,7 +139,7 @@
             run.assignment_durable = run.start_sent = True
             run.ordered_this_term = False
         if self.counted_resources is not None:
-            self.counted_resources.recovered()
+            self.counted_resources.end_recovery()
         for submitted, spec in sorted(replay.arrivals, key=lambda entry: entry[0]):
             # What arrived under the leader before still says how much comes.
             self.fleet.job_arrived(spec, self.now - max(0.0, wall - submitted))
@@ -359,7 +359,7 @@
         newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
         if tasks is not None and newest and not commands and machine.needs_no_commands():
             same = (machine.agent_epoch, token, tasks, encode(answer))
-            machine.fast_path_entry = self.fast_path.learn(
+            machine.fast_path_entry = self.fast_path.remember(
                 machine.name, same, self.now, heartbeat.seq
             )
 
@@ -564,13 +564,13 @@
         finals: list[list[Any]] = [list(entry) for entry in self.unsaved_final_states]
         self.unsaved_final_states = []
         seats = self.counted_resources
-        counted = None if seats is None else seats.live()
+        counted = None if seats is None else seats.definition_records()
         live = records.live_records(self.cluster, self.fleet.spot_group_names(), counted)
         log.info("snapshot: %d records, %d ended jobs", len(live), len(finals))
         if seats is None:
             journal.start_snapshot(live, finals)
         else:
-            journal.start_snapshot(live, finals, seats.audit, seats.audit_pages)
+            journal.start_snapshot(live, finals, seats.unsaved_audit_entries, seats.audit_pages)
 
     def _place(self) -> None:
         """One placement pass; starts go out once they are durable."""
@@ -581,8 +581,12 @@
             return
         workers_settings = self.settings.deployment.workers
         heard_after = self.now - 2.5 * workers_settings.report_s - 0.5
-        seats = None if self.counted_resources is None else self.counted_resources.begin(self.now)
-        placer = Placer(self.cluster, self.now, self.wall, heard_after, self.objectives, seats)
+        seats = (
+            None if self.counted_resources is None else self.counted_resources.begin_pass(self.now)
+        )
+        placer = FirstFitPlacer(
+            self.cluster, self.now, self.wall, heard_after, self.objectives, seats
+        )
         result = placer.run(self.operator.preempt)
         for placement in result.placements:
             job, machine = placement.job, placement.machine
@@ -600,8 +604,8 @@
                 ),
                 durable,
             )
-        for run in result.victims:
-            grace = stop_grace(run)
+        for run in result.preempted:
+            grace = stop_grace_s(run)
             run.stop_grace_s = None
             if run.job.gang:
                 self.stop_gang(run.job, grace, "preempt")
@@ -609,7 +613,7 @@
                 self.stop_run(run, grace, "preempt")
         self.fleet.shortages = result.shortages
         # Whoever waits for room that is being made is looked at again soon.
-        self.placement_needed = self.placement_needed or result.held > 0
+        self.placement_needed = self.placement_needed or result.waiting_for_room > 0
 
     # -- the cloud's answers -----------------------------------------------------------
 
@@ -624,7 +628,7 @@
                 continue
             self.agent_epoch_ended(machine)
             self.cluster.drop_machine(machine)
-            self.fast_path.cells.pop(name, None)
+            self.fast_path.entries.pop(name, None)
             self.fleet.machine_deleted(machine)
             if machine.addr:
                 self.log.append(records.machine_deleted_record(machine))
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -22,8 +22,8 @@
 from appleshift.leader_election.election import LeaderElection, LeaderTerm
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.log_committer import LogCommitter
-from appleshift.objectives.achieved import Served
-from appleshift.placement.counted_resources import Seats
+from appleshift.objectives.achieved import AchievedObjectives
+from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
@@ -43,7 +43,7 @@
 from appleshift.transport.concurrency import Routines
 
 if TYPE_CHECKING:
-    from appleshift.counted_resources.license_calls import LicenceCalls
+    from appleshift.counted_resources.license_calls import LicenseServerCalls
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
     """The map of shares, once there is one or one is wanted."""
     held_back: Callable[[], float] = float
     """For how long this node leaves free keys to others that reach more."""
-    licences: LicenceCalls | None = None
+    licences: LicenseServerCalls | None = None
     """Made when the first licence server is to be asked."""
 
 
@@ -119,7 +119,7 @@
             process_id=house.mark,
         )
         self.core: Scheduler | None = None
-        self.served: Served | None = None
+        self.served: AchievedObjectives | None = None
         self.term: LeaderTerm | None = None
         self.committer = LogCommitter(
             house.store,
@@ -205,7 +205,9 @@
         elif isinstance(event, events.ShardReplyReceived) and core.sharing is not None:
             core.sharing.reply_received(event.target_shard, event.reply)
         elif isinstance(event, events.LicenseServerAnswered) and core.counted_resources is not None:
-            told = core.counted_resources.told(event.resource, event.serial, event.reply, core.now)
+            told = core.counted_resources.license_server_answered(
+                event.resource, event.serial, event.reply, core.now
+            )
             core.placement_needed = told or core.placement_needed
 
     # -- what it decides ------------------------------------------------------------
@@ -246,13 +248,13 @@
         """Asked again right before something changes outside."""
         return lambda: self.term is term and self.leadership.may_answer(self.house.routines.now())
 
-    def _ask_servers(self, seats: Seats, now: float) -> None:
+    def _ask_servers(self, seats: CountedResources, now: float) -> None:
         house = self.house
-        for ask in seats.asks(now):
+        for ask in seats.reservation_requests(now):
             if house.licences is None:
-                from appleshift.counted_resources.license_calls import LicenceCalls
+                from appleshift.counted_resources.license_calls import LicenseServerCalls
 
-                house.licences = LicenceCalls(
+                house.licences = LicenseServerCalls(
                     house.post,
                     house.connect,
                     house.routines,
@@ -334,7 +336,9 @@
             self._counted(replay, journal, term),
             sharing,
         )
-        self.served = Served(self.core.cluster, self.core.objectives, now, house.routines.wall())
+        self.served = AchievedObjectives(
+            self.core.cluster, self.core.objectives, now, house.routines.wall()
+        )
         self.term = term
         if not self.share:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
@@ -350,7 +354,7 @@
 
     def _counted(
         self, replay: LogReplayer, journal: WriteAheadLog, term: LeaderTerm
-    ) -> Seats | None:
+    ) -> CountedResources | None:
         """Counted resources, if there are any: in a file of ours or in the log.
 
         All of them are counted in the first share, which decides for the jobs
@@ -383,7 +387,7 @@
         core = self.core
         if core is None or not self.leadership.may_answer(now):
             return None
-        return core.fast_path.answer(report, now)
+        return core.fast_path.response_to(report, now)
 
     def knows(self, machine: str) -> bool:
         """Is this the share that a machine is in, whatever its name says? Asked by the
@@ -410,12 +414,14 @@
 
 def _make_trail(written: int) -> RecordFollower:
     """The log speaks of counted resources: their audit is followed from there."""
-    from appleshift.counted_resources.audit_log import Trail as Audit
+    from appleshift.counted_resources.audit_log import AuditLog as Audit
 
     return Audit(written)
 
 
-def _look(seats: Seats | None, after: int | None, now: float) -> tuple[int, dict[str, Any]]:
+def _look(
+    seats: CountedResources | None, after: int | None, now: float
+) -> tuple[int, dict[str, Any]]:
     """Counted resources as operators see them; with a number, the audit after it."""
     if seats is None:
         return 404, users.error_body("no counted resources are defined")
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 
 from appleshift.contracts.interfaces import CapacityNeed
-from appleshift.placement.fit import how_many
+from appleshift.placement.fit import tasks_that_fit
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
 from appleshift.sharding.interfaces import DIGEST_S, ShardScheduler
@@ -168,7 +168,7 @@
                         break
                     source, machine = entry
                     kind = cluster.types[machine.type]
-                    fits = how_many(kind.cpus, kind.gpus, kind.memory_gb, need)
+                    fits = tasks_that_fit(kind.cpus, kind.gpus, kind.memory_gb, need)
                     allowed = kind.name in need.kinds and need.spot >= machine.spot
                     if fits and allowed and cluster.zones.names[machine.zone] in need.zones:
                         missing -= fits
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from appleshift.heartbeat_ingest.fast_path import Express
+from appleshift.heartbeat_ingest.fast_path import FastPath
 from appleshift.machines.fleet import Fleet
 from appleshift.scheduler.job_requests import ReplyingScheduler
 from appleshift.state.cluster_state import Job
@@ -18,7 +18,7 @@
     """The core of one term of a share."""
 
     fleet: Fleet
-    fast_path: Express
+    fast_path: FastPath
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[Any]) -> None: ...
 
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -65,7 +65,7 @@
         # Out of use from here on: whatever becomes of the record, it is no longer ours
         # to start anything on.
         cluster.forget_machine(machine)
-        core.fast_path.cells.pop(name, None)
+        core.fast_path.entries.pop(name, None)
         cluster.handed_off[name] = given
 
         def durable() -> None:
