--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -53,7 +53,7 @@
     actions: deque[Action]
     objectives: Objectives
     counted_resources: CountedResources | None
-    sharing: ShardingView | None
+    sharding: ShardingView | None
     clock: Callable[[], float]
     now: float
     fencing_token: int
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -42,7 +42,7 @@
         self.operator = core.operator
         self.started = core.now
         # Of several shares only the leader's rents, for all of them.
-        self.is_provisioning = core.sharing is None or core.sharing.shard == 0
+        self.is_provisioning = core.sharding is None or core.sharding.shard == 0
         self.shortages: list[Shortage] = []
         self.types_updated_at = 0.0
         self.requests = 0
@@ -114,7 +114,7 @@
         """A machine we did not know: rented late, or by a leader before us."""
         if report.machine in self.cluster.deleted_machines or not report.addr:
             return None
-        sharing = self.core.sharing
+        sharing = self.core.sharding
         if sharing is not None and not sharing.owns_machine(report.machine, report.type):
             return None
         machine = self.cluster.add_machine(report.machine, report.type, report.zone, report.spot)
@@ -144,9 +144,9 @@
         """One machine taken back evicts its group; the others become orphans."""
         if not machine.spot:
             return
-        if not self.is_provisioning and self.core.sharing is not None:
+        if not self.is_provisioning and self.core.sharding is not None:
             # The leader's plan has the groups.
-            self.core.sharing.machine_evicted(machine.type, machine.zone)
+            self.core.sharding.machine_evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
 
@@ -231,7 +231,7 @@
 
     def mark_shard(self, machine: Machine) -> None:
         """Is it for another share?"""
-        sharing = self.core.sharing
+        sharing = self.core.sharding
         if sharing is not None:
             kind = self.cluster.type_names.names[machine.type]
             given = machine.name in self.cluster.handed_off
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -25,15 +25,15 @@
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
 from appleshift.scheduler.scheduler import Scheduler
-from appleshift.shard_replica import Holding, House
+from appleshift.shard_replica import NodeContext, ShardReplica
 from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import Caller, HttpClient
 from appleshift.transport.concurrency import Routines, Threads
 from appleshift.transport.server import Listener
 
 if TYPE_CHECKING:
-    from appleshift.sharding.shard_map import ShareMap
-    from appleshift.sharding.shard_map_follower import Keeper
+    from appleshift.sharding.shard_map import ShardMap
+    from appleshift.sharding.shard_map_follower import ShardMapFollower
 
 log = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
             deployment.cloud.rps,
             deployment.cloud.list_lag_s,
         )
-        self._house = House(
+        self._house = NodeContext(
             settings,
             operator,
             routines,
@@ -98,18 +98,18 @@
             self.cloud,
             self._stop,
         )
-        self.holdings = {0: Holding(self._house)}
-        self.keeper: Keeper | None = None
+        self.holdings = {0: ShardReplica(self._house)}
+        self.keeper: ShardMapFollower | None = None
         self.reach = ConnectivityMonitor(
             self.workers.is_reachable,
             lambda: self.store.is_answering,
-            lambda: any(each.leadership.is_leader for each in [*self.holdings.values()]),
+            lambda: any(each.lease.is_leader for each in [*self.holdings.values()]),
             lambda: self._post(events.HandOverRequested()),
             siblings,
             routines,
         )
         if siblings:
-            self._house.held_back = self.reach.candidacy_delay_s
+            self._house.candidacy_delay_s = self.reach.candidacy_delay_s
         self._neighbours = PeerMonitor(siblings, self._elections, routines, self.reach)
         self.router = RequestRouter(
             self.holdings,
@@ -135,7 +135,7 @@
 
     @property
     def leadership(self) -> LeaderLease:
-        return self.holdings[0].leadership
+        return self.holdings[0].lease
 
     @property
     def election(self) -> LeaderElection:
@@ -143,7 +143,7 @@
 
     @property
     def core(self) -> Scheduler | None:
-        return self.holdings[0].core
+        return self.holdings[0].scheduler
 
     # -- life -----------------------------------------------------------------
 
@@ -192,7 +192,7 @@
         self.reach.stop()
         for holding in [*self.holdings.values()]:
             holding.stop()
-            self._post(events.LeadershipLost(holding.share))
+            self._post(events.LeadershipLost(holding.shard))
         for listener in self._listeners:
             listener.stop()
         self.cloud.stop()
@@ -200,8 +200,8 @@
         self.router.stop()
         if self.keeper is not None:
             self.keeper.stop()
-        if self._house.licences is not None:
-            self._house.licences.stop()
+        if self._house.license_servers is not None:
+            self._house.license_servers.stop()
 
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
@@ -211,28 +211,28 @@
     def _elections(self) -> list[LeaderElection]:
         return [holding.election for holding in [*self.holdings.values()]]
 
-    def _map(self) -> ShareMap | None:
-        return None if self.keeper is None else self.keeper.map
+    def _map(self) -> ShardMap | None:
+        return None if self.keeper is None else self.keeper.shard_map
 
     def _keep(self) -> None:
         """From now on this node goes by the map of shares."""
-        from appleshift.sharding.shard_map_follower import Keeper
+        from appleshift.sharding.shard_map_follower import ShardMapFollower
 
-        self.keeper = Keeper(self._house, self.holdings, self._neighbours, self._grow)
-        self._house.keeper = self.keeper
+        self.keeper = ShardMapFollower(self._house, self.holdings, self._neighbours, self._grow)
+        self._house.shard_map_follower = self.keeper
         if self._started:
             self.keeper.start()
 
-    def _grow(self, holding: Holding) -> None:
+    def _grow(self, holding: ShardReplica) -> None:
         """The map has a share more."""
-        self.holdings[holding.share] = holding
+        self.holdings[holding.shard] = holding
         if self._started:
             holding.start()
 
     def _hello(self) -> peers.PeerStatus:
         now = self.routines.now()
         first = self.holdings[0]
-        leadership, election = first.leadership, first.election
+        leadership, election = first.lease, first.election
         hello = peers.PeerStatus(
             election.name,
             leadership.is_leader,
@@ -241,11 +241,11 @@
             election.relayed_fraction if leadership.is_leader else 0.0,
             # Once a quarter of the machines were sent to a relay that none of them reached.
             election.can_relay() and not self.reach.worker_contacts.is_lost(),
-            process_id=self._house.mark,
+            process_id=self._house.process_id,
             connectivity=self.reach.own_connectivity(now),
             worker_sample=[*self.reach.worker_contacts.sample] if leadership.is_leader else [],
         )
-        return hello if self.keeper is None else self.keeper.hello(hello, now)
+        return hello if self.keeper is None else self.keeper.extend_status(hello, now)
 
     # -- the cores' routine ------------------------------------------------------
 
@@ -258,13 +258,13 @@
                 # can. Other terms start from there.
                 log.exception("core failed: giving up this term")
                 for holding in [*self.holdings.values()]:
-                    holding.core = holding.term = None
+                    holding.scheduler = holding.term = None
                     holding.election.step_down()
                 self.cloud.set_term(None)
 
     def _round(self) -> None:
         holdings = [*self.holdings.values()]
-        busy = any(holding.busy() for holding in holdings)
+        busy = any(holding.is_busy() for holding in holdings)
         event: events.Event | None = None
         with contextlib.suppress(queue.Empty):
             event = self._events.get(timeout=BUSY_WAIT_S if busy else IDLE_WAIT_S)
@@ -277,7 +277,7 @@
             for _ in range(handled - 1):
                 self._handle(self._events.get_nowait())
         for holding in holdings:
-            holding.decide()
+            holding.run_round()
         if self.keeper is not None:
             self.keeper.step(self.routines.now())
         elif self._neighbours.shard_map_version:
@@ -285,7 +285,7 @@
             self._keep()
         core = self.core
         if core is not None:
-            if core.sharing is None:
+            if core.sharding is None:
                 self._spread(core, self.routines.now())
             self._sample(core, self.routines.now())
         self._load.round_finished(began, self.routines.now(), handled, self._connections())
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -83,7 +83,7 @@
         """R, and the part of it that may not use spot machines, over all shares."""
         steady = self.fleet.cluster.types[self.on_demand_type]
         total, fixed = self.needed_capacity(now)
-        sharing = self.fleet.core.sharing
+        sharing = self.fleet.core.sharding
         if sharing is not None:
             total, fixed = sharing.needed_capacity(self.gpus, (total, fixed))
 
@@ -310,7 +310,7 @@
         )
         for kind, zone, spot, count in fleet.pending_rentals.values():
             coming[kind, zone, spot] += count
-        sharing = fleet.core.sharing
+        sharing = fleet.core.sharding
         others = [] if sharing is None else sharing.unplaceable_needs(self.gpus)
         for need in [*self.unplaceable_needs(), *others]:
             missing = need.tasks
@@ -406,7 +406,7 @@
     def _scale_in(self, plan: CapacityPlan, required: float, fixed: float, now: float) -> None:
         """Return idle machines that the plan does without, the dearest first."""
         fleet, cluster = self.fleet, self.fleet.cluster
-        sharing = fleet.core.sharing
+        sharing = fleet.core.sharding
         fleet.on_demand_spare[self.gpus] = 0.0
         if fleet.pending_rentals or any(s.job.spec.gpus > 0 for s in fleet.shortages if self.gpus):
             return
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -29,7 +29,7 @@
 class ReplyingScheduler(SchedulerView, Protocol):
     """The core, as what answers users sees it."""
 
-    sharing: ShardingView | None
+    sharding: ShardingView | None
     is_stalled: bool
     draining: bool
 
@@ -87,13 +87,13 @@
         if not self._can_write():
             core.reply_unavailable(slot)
             return
-        if core.sharing is not None and not homed:
-            if not core.sharing.is_home(spec.id):
+        if core.sharding is not None and not homed:
+            if not core.sharding.is_home(spec.id):
                 # Sent by a node that goes by an older map.
                 core.reply_unavailable(slot)
                 return
-            share = core.sharing.deciding_shard(spec)
-            if share != core.sharing.shard:
+            share = core.sharding.deciding_shard(spec)
+            if share != core.sharding.shard:
                 self._forward_to_shard(spec, share, slot)
                 return
         if core.counted_resources is None and spec.seats is not None:
@@ -114,8 +114,8 @@
                 log.info("first submission of this term is durable")
 
         written = [record]
-        if core.sharing is not None:
-            written += core.sharing.partition_array(job)
+        if core.sharding is not None:
+            written += core.sharding.partition_array(job)
         core.append_records(written, accepted)
         core.reply_durable(slot, 201, users.state_body(spec.id, users.PENDING))
         core.job_arrived(spec)
@@ -179,7 +179,7 @@
         """No such job here. Only if it was asked for by the map in force, or sent on
         from where its id leads, does that mean that there is none: nodes that knew of
         no map yet, or of an older one, once told users that their jobs were unknown."""
-        sharing = self._core.sharing
+        sharing = self._core.sharding
         if sharing is None or homed or sharing.is_current_map(job_id, map_version):
             self._core.reply(slot, 404, users.error_body("no such job"))
         else:
@@ -218,9 +218,9 @@
             core.reply_unavailable(slot)
             return
         apart = job.remote_tasks and job.status == OPEN
-        if core.sharing is not None and (apart or job.cancel_requested):
+        if core.sharding is not None and (apart or job.cancel_requested):
             # Users are told once every share that has a portion has ended it.
-            core.sharing.cancel_partitioned(job, slot)
+            core.sharding.cancel_partitioned(job, slot)
             return
         if job.status == OPEN:
             job.status = CANCELLED
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -92,7 +92,7 @@
         self.cluster: ClusterState = replay.cluster
         self.log = journal
         self.counted_resources = seats
-        self.sharing = sharing
+        self.sharding = sharing
         # About to be handed over: nothing new is accepted or started.
         self.draining = False
         self.actions: deque[Action] = deque()
@@ -522,8 +522,8 @@
         self.commands.send()
         if self.counted_resources is not None and self.counted_resources.step(now, wall):
             self.placement_needed = True
-        if self.sharing is not None:
-            self.sharing.step(now)
+        if self.sharding is not None:
+            self.sharding.step(now)
 
     def _tick(self) -> None:
         for machine in list(self.cluster.machines.values()):
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -51,10 +51,10 @@
 """So long may what was accepted take to become durable before a share is left."""
 
 
-class Keeper(Protocol):
+class ShardCoordination(Protocol):
     """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
-    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> ShardingView | None:
+    def sharding_for(self, term: LeaderTerm, replay: LogReplayer) -> ShardingView | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -62,64 +62,64 @@
         """
         ...
 
-    def call(self, effect: CallShard, term: Any) -> None: ...
+    def call_shard(self, effect: CallShard, term: Any) -> None: ...
 
 
 @dataclass
-class House:
+class NodeContext:
     """What all shares of a node have in common."""
 
     settings: Settings
     operator: OperatorSettings
-    routines: Routines
+    runtime: Routines
     store: KeyValueStore
-    siblings: dict[str, Caller]
+    peer_clients: dict[str, Caller]
     connect: Callable[[tuple[str, int]], Caller]
     post: Callable[[events.Event], None]
-    mark: str
+    process_id: str
     workers: WorkerCalls
     cloud: CloudCalls
     stop: Any
-    keeper: Keeper | None = None
+    shard_map_follower: ShardCoordination | None = None
     """The map of shares, once there is one or one is wanted."""
-    held_back: Callable[[], float] = float
+    candidacy_delay_s: Callable[[], float] = float
     """For how long this node leaves free keys to others that reach more."""
-    licences: LicenseServerCalls | None = None
+    license_servers: LicenseServerCalls | None = None
     """Made when the first licence server is to be asked."""
 
 
-class Holding:
+class ShardReplica:
     """Owned by the core's routine, but for ``election``, ``leadership`` and ``committer``."""
 
     def __init__(
         self,
-        house: House,
+        house: NodeContext,
         share: int = 0,
         guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
         hold_back: Callable[[], float] = float,
     ) -> None:
-        self.house = house
-        self.share = share
-        routines, operator = house.routines, house.operator
-        self.leadership = LeaderLease([*house.siblings], operator.pledge_s, routines.now())
+        self.context = house
+        self.shard = share
+        routines, operator = house.runtime, house.operator
+        self.lease = LeaderLease([*house.peer_clients], operator.pledge_s, routines.now())
         self.election = LeaderElection(
             house.settings.name,
             house.store,
-            house.siblings,
-            self.leadership,
+            house.peer_clients,
+            self.lease,
             operator,
             on_won=lambda term: house.post(events.ElectionWon(term)),
             on_lost=lambda: house.post(events.LeadershipLost(share)),
-            process_mark=house.mark if not share else f"{house.mark}.s{share}",
+            process_mark=house.process_id if not share else f"{house.process_id}.s{share}",
             routines=routines,
             shard=share,
             extra_guards=guards,
             # Who holds further shares is the leader's to say.
-            candidacy_delay_s=hold_back if share else lambda: house.held_back(),
-            process_id=house.mark,
+            candidacy_delay_s=hold_back if share else lambda: house.candidacy_delay_s(),
+            process_id=house.process_id,
         )
-        self.core: Scheduler | None = None
-        self.served: AchievedObjectives | None = None
+        self.scheduler: Scheduler | None = None
+        self.achieved_objectives: AchievedObjectives | None = None
         self.term: LeaderTerm | None = None
         self.committer = LogCommitter(
             house.store,
@@ -128,7 +128,7 @@
             routines,
             f"commit-{share}" if share else "commit",
         )
-        self._drain_since: float | None = None
+        self._draining_since: float | None = None
 
     def start(self) -> None:
         self.committer.start()
@@ -144,25 +144,25 @@
         if isinstance(event, events.HandOverRequested):
             self.hand_over()
         elif isinstance(event, events.ApiRequest):
-            self._ask(event)
+            self._handle_request(event)
         elif isinstance(event, events.ElectionWon):
-            self._begin(event.term)
+            self._begin_term(event.term)
         elif isinstance(event, events.LeadershipLost):
-            self.end()
-        elif event.term is self.term and self.core is not None:
+            self.end_term()
+        elif event.term is self.term and self.scheduler is not None:
             # What comes from an earlier term is void.
-            self._outcome(self.core, event)
+            self._handle_term_event(self.scheduler, event)
 
-    def _ask(self, event: events.ApiRequest) -> None:
-        core = self.core
+    def _handle_request(self, event: events.ApiRequest) -> None:
+        core = self.scheduler
         if core is None:
             event.reply_to.put((503, users.error_body("nobody holds this share yet"), 1))
             return
-        core.now = self.house.routines.now()
+        core.now = self.context.runtime.now()
         if isinstance(event, events.HeartbeatReceived):
             core.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
         elif isinstance(event, events.SubmitJob):
-            wall = self.house.routines.wall()
+            wall = self.context.runtime.wall()
             core.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
         elif isinstance(event, events.GetJobStatus):
             core.job_requests.status(
@@ -173,14 +173,17 @@
                 event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
             )
         elif isinstance(event, events.GetCountedResources):
-            core.reply(event.reply_to, *_look(core.counted_resources, event.after, core.now))
-        elif isinstance(event, events.ShardRequestReceived) and core.sharing is not None:
-            core.sharing.request_received(event.message, event.reply_to)
+            core.reply(
+                event.reply_to,
+                *_counted_resources_reply(core.counted_resources, event.after, core.now),
+            )
+        elif isinstance(event, events.ShardRequestReceived) and core.sharding is not None:
+            core.sharding.request_received(event.message, event.reply_to)
         else:
             core.reply_unavailable(event.reply_to)
 
-    def _outcome(self, core: Scheduler, event: events.TermEvent) -> None:
-        core.now = self.house.routines.now()
+    def _handle_term_event(self, core: Scheduler, event: events.TermEvent) -> None:
+        core.now = self.context.runtime.now()
         if isinstance(event, events.CommitSucceeded):
             core.commit_succeeded(event.revision)
         elif isinstance(event, events.CommandsSent):
@@ -192,7 +195,7 @@
         elif isinstance(event, events.CommitStalled):
             core.commit_stalled()
         elif isinstance(event, events.Fenced):
-            self.end()
+            self.end_term()
             self.election.step_down()
         elif isinstance(event, events.MachineTypesListed):
             core.fleet.set_machine_types(event.types)
@@ -202,8 +205,8 @@
             core.fleet.rental_answered(event.request, event.machines, event.refused)
         elif isinstance(event, events.DeletionAnswered):
             core.deletion_answered(event.machines, event.ok)
-        elif isinstance(event, events.ShardReplyReceived) and core.sharing is not None:
-            core.sharing.reply_received(event.target_shard, event.reply)
+        elif isinstance(event, events.ShardReplyReceived) and core.sharding is not None:
+            core.sharding.reply_received(event.target_shard, event.reply)
         elif isinstance(event, events.LicenseServerAnswered) and core.counted_resources is not None:
             told = core.counted_resources.license_server_answered(
                 event.resource, event.serial, event.reply, core.now
@@ -212,58 +215,60 @@
 
     # -- what it decides ------------------------------------------------------------
 
-    def busy(self) -> bool:
-        return self.core is not None and (self.core.placement_needed or self.core.log.backlog() > 0)
+    def is_busy(self) -> bool:
+        return self.scheduler is not None and (
+            self.scheduler.placement_needed or self.scheduler.log.backlog() > 0
+        )
 
-    def decide(self) -> None:
-        core, routines = self.core, self.house.routines
+    def run_round(self) -> None:
+        core, routines = self.scheduler, self.context.runtime
         if core is None:
             return
         now = routines.now()
         core.step(now, routines.wall())
-        if self.served is not None:
-            self.served.step(now, routines.wall())
-        if self.leadership.may_write(now):
+        if self.achieved_objectives is not None:
+            self.achieved_objectives.step(now, routines.wall())
+        if self.lease.may_write(now):
             txn = core.log.next_transaction(now)
             if txn is not None:
                 self.committer.send(txn, self.term)
-        if core.counted_resources is not None and self.leadership.may_answer(now):
-            self._ask_servers(core.counted_resources, now)
+        if core.counted_resources is not None and self.lease.may_answer(now):
+            self._call_license_servers(core.counted_resources, now)
         for effect in core.take_actions():
-            self._carry_out(core, effect)
-        if self._drain_since is not None and (
-            core.log.is_idle() or now - self._drain_since > DRAIN_S
+            self._execute(core, effect)
+        if self._draining_since is not None and (
+            core.log.is_idle() or now - self._draining_since > DRAIN_S
         ):
-            self._drain_since = None
+            self._draining_since = None
             self.election.hand_over()
 
     def hand_over(self) -> None:
         """Leave the share in order: what was accepted becomes durable, nothing new is."""
-        if self.core is not None and not self.core.draining:
-            log.info("handing over share %d", self.share)
-            self.core.draining = True
-            self._drain_since = self.house.routines.now()
+        if self.scheduler is not None and not self.scheduler.draining:
+            log.info("handing over share %d", self.shard)
+            self.scheduler.draining = True
+            self._draining_since = self.context.runtime.now()
 
-    def _entitled(self, term: LeaderTerm | None) -> Callable[[], bool]:
+    def _is_entitled(self, term: LeaderTerm | None) -> Callable[[], bool]:
         """Asked again right before something changes outside."""
-        return lambda: self.term is term and self.leadership.may_answer(self.house.routines.now())
+        return lambda: self.term is term and self.lease.may_answer(self.context.runtime.now())
 
-    def _ask_servers(self, seats: CountedResources, now: float) -> None:
-        house = self.house
+    def _call_license_servers(self, seats: CountedResources, now: float) -> None:
+        house = self.context
         for ask in seats.reservation_requests(now):
-            if house.licences is None:
+            if house.license_servers is None:
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
-                house.licences = LicenseServerCalls(
+                house.license_servers = LicenseServerCalls(
                     house.post,
                     house.connect,
-                    house.routines,
-                    lambda: self.leadership.may_answer(house.routines.now()),
+                    house.runtime,
+                    lambda: self.lease.may_answer(house.routines.now()),
                 )
-            house.licences.send(ask, self.term)
+            house.license_servers.send(ask, self.term)
 
-    def _carry_out(self, core: Scheduler, effect: Action) -> None:
-        house, term = self.house, self.term
+    def _execute(self, core: Scheduler, effect: Action) -> None:
+        house, term = self.context, self.term
         if isinstance(effect, Reply):
             effect.reply_to.put((effect.status, effect.body, effect.retry_after))
         elif isinstance(effect, SendCommands):
@@ -271,31 +276,31 @@
         elif isinstance(effect, ProbeMachine):
             house.workers.probe(effect, term)
         elif isinstance(effect, RentMachines):
-            house.cloud.rent(effect, term, self._entitled(term))
+            house.cloud.rent(effect, term, self._is_entitled(term))
         elif isinstance(effect, DeleteMachines):
-            house.cloud.delete(effect, term, self._entitled(term))
-        elif isinstance(effect, CallShard) and house.keeper is not None:
-            house.keeper.call(effect, term)
+            house.cloud.delete(effect, term, self._is_entitled(term))
+        elif isinstance(effect, CallShard) and house.shard_map_follower is not None:
+            house.shard_map_follower.call_shard(effect, term)
 
     # -- terms --------------------------------------------------------------------------
 
-    def _begin(self, term: LeaderTerm) -> None:
+    def _begin_term(self, term: LeaderTerm) -> None:
         """Recover what is durable; only then does anyone get an answer."""
-        house = self.house
+        house = self.context
         deployment = house.settings.deployment
-        began = house.routines.now()
-        prefix = shard_prefix(self.share)
+        began = house.runtime.now()
+        prefix = shard_prefix(self.shard)
         while True:
-            if house.stop.is_set() or not self.leadership.is_leader:
+            if house.stop.is_set() or not self.lease.is_leader:
                 return
-            if self.leadership.fencing_token != term.fencing_token:
+            if self.lease.fencing_token != term.fencing_token:
                 return
-            replay = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_trail)
+            replay = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_audit_log)
             try:
                 recovered = recover(house.store, replay, prefix)
                 sharing = None
-                if house.keeper is not None:
-                    sharing = house.keeper.sharing(term, replay)
+                if house.shard_map_follower is not None:
+                    sharing = house.shard_map_follower.sharding_for(term, replay)
                 break
             except CompareFailedError as error:
                 log.info("deposed in recovery: guards failed on %s", error)
@@ -304,7 +309,7 @@
             except (StoreError, ClientError, ProtocolError) as error:
                 log.info("recovery: %s", error)
                 house.stop.wait(0.2)
-        now = house.routines.now()
+        now = house.runtime.now()
         limits = deployment.state
         parts = 1 if sharing is None else sharing.shard_count
         journal = WriteAheadLog(
@@ -323,36 +328,36 @@
             extra_guards=term.extra_guards,
         )
         journal.remove_keys(recovered.orphaned_keys)
-        self._drain_since = None
-        self.core = Scheduler(
+        self._draining_since = None
+        self.scheduler = Scheduler(
             house.settings,
             house.operator,
-            self.leadership,
+            self.lease,
             term.fencing_token,
             replay,
             journal,
-            house.routines.now,
-            house.routines.wall(),
-            self._counted(replay, journal, term),
+            house.runtime.now,
+            house.runtime.wall(),
+            self._counted_resources(replay, journal, term),
             sharing,
         )
-        self.served = AchievedObjectives(
-            self.core.cluster, self.core.objectives, now, house.routines.wall()
+        self.achieved_objectives = AchievedObjectives(
+            self.scheduler.cluster, self.scheduler.objectives, now, house.runtime.wall()
         )
         self.term = term
-        if not self.share:
+        if not self.shard:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
             house.cloud.set_term(term)
         log.info(
             "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
-            f" share {self.share}" if self.share else "",
+            f" share {self.shard}" if self.shard else "",
             term.fencing_token,
             len(replay.cluster.jobs),
             len(replay.cluster.machines),
             (now - began) * 1000,
         )
 
-    def _counted(
+    def _counted_resources(
         self, replay: LogReplayer, journal: WriteAheadLog, term: LeaderTerm
     ) -> CountedResources | None:
         """Counted resources, if there are any: in a file of ours or in the log.
@@ -360,66 +365,66 @@
         All of them are counted in the first share, which decides for the jobs
         that ask for any.
         """
-        if self.share or (not self.house.operator.seats and not replay.counted_resources):
+        if self.shard or (not self.context.operator.seats and not replay.counted_resources):
             return None
         from appleshift.counted_resources.scheduler_part import build
 
         return build(
-            self.house.operator, replay, journal, term.fencing_token, self.house.routines.wall()
+            self.context.operator, replay, journal, term.fencing_token, self.context.runtime.wall()
         )
 
-    def end(self) -> None:
-        core = self.core
-        self.core = self.served = None
+    def end_term(self) -> None:
+        core = self.scheduler
+        self.scheduler = self.achieved_objectives = None
         self.term = None
-        self._drain_since = None
-        if not self.share:
+        self._draining_since = None
+        if not self.shard:
             self.election.relayed_fraction = 0.0
-            self.house.cloud.set_term(None)
+            self.context.cloud.set_term(None)
         if core is not None:
             core.end_term()
             for effect in core.take_actions():
                 if isinstance(effect, Reply):
                     effect.reply_to.put((effect.status, effect.body, effect.retry_after))
 
-    def unchanged(self, report: HeartbeatHeader, now: float) -> bytes | None:
+    def unchanged_response(self, report: HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; asked by connections' routines."""
-        core = self.core
-        if core is None or not self.leadership.may_answer(now):
+        core = self.scheduler
+        if core is None or not self.lease.may_answer(now):
             return None
         return core.fast_path.response_to(report, now)
 
-    def knows(self, machine: str) -> bool:
+    def has_machine(self, machine: str) -> bool:
         """Is this the share that a machine is in, whatever its name says? Asked by the
         routines of connections: a wrong answer costs a moment."""
-        core = self.core
+        core = self.scheduler
         found = None if core is None else core.cluster.machine(machine)
         return found is not None and not found.in_other_shard
 
-    def told_by_now(self, job_id: str) -> str | None:
+    def last_reported_state(self, job_id: str) -> str | None:
         """What users have been told of a job at least, as far as this node knows."""
-        core = self.core
+        core = self.scheduler
         return None if core is None else core.job_requests.last_reported_state(job_id)
 
     def view(self) -> dict[str, Any]:
-        core = self.core
+        core = self.scheduler
         if core is None:
             return {"held_here": False}
         own = sum(
             1 for machine in list(core.cluster.machines.values()) if not machine.in_other_shard
         )
         found = {"held_here": True, "jobs": len(core.cluster.jobs), "machines": own}
-        return found if core.sharing is None else {**found, **core.sharing.view()}
+        return found if core.sharding is None else {**found, **core.sharding.view()}
 
 
-def _make_trail(written: int) -> RecordFollower:
+def _make_audit_log(written: int) -> RecordFollower:
     """The log speaks of counted resources: their audit is followed from there."""
     from appleshift.counted_resources.audit_log import AuditLog as Audit
 
     return Audit(written)
 
 
-def _look(
+def _counted_resources_reply(
     seats: CountedResources | None, after: int | None, now: float
 ) -> tuple[int, dict[str, Any]]:
     """Counted resources as operators see them; with a number, the audit after it."""
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -22,23 +22,23 @@
 from appleshift.storage import records
 from appleshift.storage.records import Record
 
-DIVIDED = 24
+MIN_TASKS_PER_SHARD = 24
 """Arrays of so many tasks for each share are divided: of smaller ones each share
 would fetch the image for a handful."""
-PORTIONS_A_CALL = 40
+MAX_PARTITIONS_PER_CALL = 40
 
 
-class Portions:
+class ArrayPartitions:
     """Of one term of a share, as a home and as one that runs what others sent."""
 
     def __init__(
         self, core: ShardScheduler, number: int, takers: list[int], hurry: Callable[[int], None]
     ) -> None:
-        self._core = core
-        self._number = number
-        self._takers = takers
+        self._scheduler = core
+        self._shard = number
+        self._submission_shards = takers
         # That share is to be asked at once.
-        self._hurry = hurry
+        self._poll_now = hurry
         # As a home: jobs with tasks away, by id; (id, share) that took their portion,
         # that ended it, and how many tasks ran there; who waits for a cancellation.
         self._divided: dict[str, Job] = {
@@ -46,7 +46,7 @@
             for job in core.cluster.jobs.values()
             if job.remote_tasks or job.cancel_requested
         }
-        self._taken: set[tuple[str, int]] = set()
+        self._accepted: set[tuple[str, int]] = set()
         self._ended: set[tuple[str, int]] = set()
         self._running: dict[tuple[str, int], int] = {}
         self._waiting: dict[str, list[Any]] = defaultdict(list)
@@ -58,36 +58,36 @@
 
     # -- at home -------------------------------------------------------------------------
 
-    def divide(self, job: Job) -> list[Record]:
-        spec, takers = job.spec, self._takers
+    def partition_array(self, job: Job) -> list[Record]:
+        spec, takers = job.spec, self._submission_shards
         whole = spec.shape != users.ARRAY or spec.together or spec.spread
-        if whole or self._number not in takers or len(takers) < 2:
+        if whole or self._shard not in takers or len(takers) < 2:
             return []
-        if spec.tasks < DIVIDED * len(takers):
+        if spec.tasks < MIN_TASKS_PER_SHARD * len(takers):
             return []
         count = spec.tasks // len(takers)
-        others = [share for share in takers if share != self._number]
+        others = [share for share in takers if share != self._shard]
         start = spec.tasks - count * len(others)
         job.assign_partitions([[share, start + n * count, count] for n, share in enumerate(others)])
         self._divided[spec.id] = job
         return [records.partitions_record(job)]
 
-    def call_off(self, job: Job, slot: Any) -> None:
-        core = self._core
+    def cancel(self, job: Job, slot: Any) -> None:
+        core = self._scheduler
         if not job.cancel_requested and job.status == OPEN:
             # From here on nothing of it starts or counts as done at home.
             job.status = CANCELLED
             job.cancel_requested = True
             core.append_records(
-                [records.cancel_requested_record(job)], lambda: self._called_off(job)
+                [records.cancel_requested_record(job)], lambda: self._cancel_requested(job)
             )
         core.hold_reply(slot)
         self._waiting[job.spec.id].append(slot)
 
-    def _called_off(self, job: Job) -> None:
-        self._core.stop_job(job)
+    def _cancel_requested(self, job: Job) -> None:
+        self._scheduler.stop_job(job)
         for share, _, _ in job.partitions:
-            self._hurry(share)
+            self._poll_now(share)
         self._maybe_cancelled(job)
 
     def _maybe_cancelled(self, job: Job) -> None:
@@ -98,7 +98,7 @@
         if any((job_id, share) not in self._ended for share, _, _ in job.partitions):
             return
         job.cancel_requested = False
-        core = self._core
+        core = self._scheduler
 
         def durable() -> None:
             job.cancel_durable = True
@@ -114,7 +114,7 @@
         self._divided.pop(job.spec.id, None)
         for share, _, _ in job.partitions:
             key = (job.spec.id, share)
-            self._taken.discard(key)
+            self._accepted.discard(key)
             self._ended.discard(key)
             self._running.pop(key, None)
 
@@ -133,19 +133,19 @@
                 portions, called_off, wanted = found.setdefault(share, ([], [], []))
                 if job.cancel_requested:
                     called_off.append(job_id)
-                elif key in self._taken:
+                elif key in self._accepted:
                     wanted.append(job_id)
-                elif len(portions) < PORTIONS_A_CALL:
+                elif len(portions) < MAX_PARTITIONS_PER_CALL:
                     portions.append(Portion(start, count, job.submitted, job.spec))
         return found
 
-    def stands(self, share: int, standing: Standing) -> None:
+    def status_received(self, share: int, standing: Standing) -> None:
         job = self._divided.get(standing.id)
         portion = next((p for p in job.partitions if p[0] == share), None) if job else None
         if job is None or portion is None:
             return
         key = (standing.id, share)
-        self._taken.add(key)
+        self._accepted.add(key)
         _, start, count = portion
         mine = range(start, start + count)
         if standing.state == CANCELLED:
@@ -159,7 +159,7 @@
                 self._running.get((standing.id, other), 0) for other, _, _ in job.partitions
             )
             if done:
-                self._core.complete_tasks(job, done, [])
+                self._scheduler.complete_tasks(job, done, [])
             if standing.state == FINISHED:
                 self._ended.add(key)
         elif standing.state == FINISHED:
@@ -168,24 +168,24 @@
 
     # -- where they run ----------------------------------------------------------------
 
-    def asked(self, ask: Ask) -> list[Standing]:
+    def request_received(self, ask: Ask) -> list[Standing]:
         """Take and end what another share says; how all that it names stands.
 
         What this says may not be durable yet: the answer must wait until it is.
         """
-        cluster = self._core.cluster
+        cluster = self._scheduler.cluster
         for portion in ask.portions:
             key = partition_key(portion.spec.id)
             known = key in cluster.final_states or key in cluster.job_by_id
             if not known and cluster.team_names.get(portion.spec.team) >= 0:
-                self._take(portion)
+                self._accept(portion)
         for job_id in ask.called_off:
             self._end(job_id)
         ids = [portion.spec.id for portion in ask.portions] + ask.called_off + ask.wanted
-        return [standing for job_id in ids if (standing := self._standing(job_id)) is not None]
+        return [standing for job_id in ids if (standing := self._status(job_id)) is not None]
 
-    def _take(self, portion: Portion) -> None:
-        core = self._core
+    def _accept(self, portion: Portion) -> None:
+        core = self._scheduler
         cluster = core.cluster
         job = cluster.add_job(
             cluster.next_job_index, portion.spec, portion.submitted, partition=True
@@ -203,7 +203,7 @@
 
     def _end(self, job_id: str) -> None:
         """Nothing of this job starts here from now on, not even if it comes later."""
-        core, key = self._core, partition_key(job_id)
+        core, key = self._scheduler, partition_key(job_id)
         job = core.cluster.job_by_id.get(key)
         if job is not None:
             if job.status == OPEN:
@@ -214,8 +214,8 @@
             core.unsaved_final_states.append((key, CANCELLED))
             core.append_records([records.final_state_record(key, CANCELLED)])
 
-    def _standing(self, job_id: str) -> Standing | None:
-        cluster, key = self._core.cluster, partition_key(job_id)
+    def _status(self, job_id: str) -> Standing | None:
+        cluster, key = self._scheduler.cluster, partition_key(job_id)
         final = cluster.final_states.get(key)
         if final is not None:
             self._ranges.pop(job_id, None)
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -8,10 +8,10 @@
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
-from appleshift.sharding.interfaces import DIGEST_S, ShardScheduler
-from appleshift.sharding.machine_transfer import Handing
-from appleshift.sharding.shard_map import ShareMap
-from appleshift.sharding.shard_reporter import lacking as lacking_in
+from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
+from appleshift.sharding.machine_transfer import MachineTransfer
+from appleshift.sharding.shard_map import ShardMap
+from appleshift.sharding.shard_reporter import unmet_needs as lacking_in
 from appleshift.state.cluster_state import UP as MACHINE_UP
 from appleshift.state.cluster_state import Machine
 
@@ -26,31 +26,31 @@
 """A share that has said nothing for so long is not rented for any more."""
 
 
-class Overview:
+class FleetSummary:
     """Of one term of the first share."""
 
-    def __init__(self, core: ShardScheduler, known: ShareMap, handing: Handing) -> None:
-        self._core = core
+    def __init__(self, core: ShardScheduler, known: ShardMap, handing: MachineTransfer) -> None:
+        self._scheduler = core
         self._map = known
-        self._handing = handing
+        self._transfer = handing
         # The shares' last digests, and idle machines that they are to give back.
-        self._digests: dict[int, tuple[float, Digest]] = {}
+        self._summaries: dict[int, tuple[float, Digest]] = {}
         self._leaving: dict[int, set[str]] = defaultdict(set)
-        self._share_of: dict[str, int] = {}
+        self._shard_of: dict[str, int] = {}
         # Machines to be handed on, by the share that has them: name -> share, since.
         self._moving: dict[int, dict[str, tuple[int, float]]] = defaultdict(dict)
         self._next_moves = 0.0
         # Since when work waits in a share without a break.
         self._waiting_since: dict[int, float] = {}
 
-    def digested(self, digest: Digest) -> Plan:
-        core = self._core
+    def summary_received(self, digest: Digest) -> Plan:
+        core = self._scheduler
         fleet, cluster = core.fleet, core.cluster
-        last = self._digests.get(digest.share)
+        last = self._summaries.get(digest.share)
         newer = last is None or (digest.token, digest.seq) > (last[1].token, last[1].seq)
         if newer:
             # What was delayed on its way says less than what is known by now.
-            self._digests[digest.share] = (core.now, digest)
+            self._summaries[digest.share] = (core.now, digest)
             for each in digest.machines:
                 self._machine(digest.share, each)
             for kind, zone in digest.evicted:
@@ -59,7 +59,7 @@
                     fleet.evict_market(market)
             self._waits(digest.share, digest.waiting > 0)
             if digest.waiting:
-                fleet.next_review = min(fleet.next_review, core.now + DIGEST_S)
+                fleet.next_review = min(fleet.next_review, core.now + SUMMARY_INTERVAL_S)
         plain = max(1, len(self._map.plain))
         moving = self._moving[digest.share]
         for name, (_, since) in list(moving.items()):
@@ -74,7 +74,7 @@
         )
 
     def _machine(self, share: int, told: MachineNow) -> None:
-        cluster, leaving = self._core.cluster, self._leaving[share]
+        cluster, leaving = self._scheduler.cluster, self._leaving[share]
         machine = cluster.machine(told.name)
         if told.state == MOVED:
             # Where it went says so itself.
@@ -89,12 +89,12 @@
             return
         if told.state == GONE:
             leaving.discard(told.name)
-            self._share_of.pop(told.name, None)
+            self._shard_of.pop(told.name, None)
             self._moving[share].pop(told.name, None)
             if machine is not None and machine.in_other_shard:
                 cluster.drop_machine(machine)
             return
-        machine = self._shadow(told.name, told.kind, told.zone, told.spot, share)
+        machine = self._shadow_machine(told.name, told.kind, told.zone, told.spot, share)
         if machine is None:
             return
         machine.cordoned = told.state == LEAVING
@@ -102,20 +102,22 @@
             leaving.discard(told.name)
             machine.idle_since = 0.0
         else:
-            machine.idle_since = machine.idle_since or self._core.now
+            machine.idle_since = machine.idle_since or self._scheduler.now
 
-    def _shadow(self, name: str, kind: str, zone: str, spot: bool, share: int) -> Machine | None:
+    def _shadow_machine(
+        self, name: str, kind: str, zone: str, spot: bool, share: int
+    ) -> Machine | None:
         """The leader's idea of a machine that another share has."""
-        cluster = self._core.cluster
+        cluster = self._scheduler.cluster
         machine = cluster.machine(name)
         if machine is None:
             machine = cluster.add_machine(name, kind, zone, spot)
             if machine is None:
                 return None
-            machine.rented_at = self._core.now
+            machine.rented_at = self._scheduler.now
         machine.in_other_shard = True
         machine.status = MACHINE_UP
-        self._share_of[name] = share
+        self._shard_of[name] = share
         return machine
 
     def step(self, now: float) -> None:
@@ -125,9 +127,9 @@
         """
         if now < self._next_moves:
             return
-        self._next_moves = now + DIGEST_S
-        cluster = self._core.cluster
-        own = lacking_in(self._core) if 0 in self._map.plain else []
+        self._next_moves = now + SUMMARY_INTERVAL_S
+        cluster = self._scheduler.cluster
+        own = lacking_in(self._scheduler) if 0 in self._map.plain else []
         self._waits(0, bool(own))
         needs = {digest.share: digest.lacking for digest in self._fresh()}
         lacking = {
@@ -139,7 +141,7 @@
             return
         under_way = {name for moves in self._moving.values() for name in moves}
         idle = [
-            (0 if not machine.in_other_shard else self._share_of.get(machine.name, 0), machine)
+            (0 if not machine.in_other_shard else self._shard_of.get(machine.name, 0), machine)
             for machine in cluster.machines.values()
             if machine.status == MACHINE_UP
             and machine.idle_since
@@ -177,29 +179,29 @@
                         if source:
                             self._moving[source][machine.name] = (share, now)
                         else:
-                            self._give(machine, share)
+                            self._hand_off(machine, share)
 
-    def give_back(self, machines: list[Machine]) -> None:
+    def return_machines(self, machines: list[Machine]) -> None:
         for machine in machines:
-            kind = self._core.cluster.type_names.names[machine.type]
-            share = self._share_of.get(machine.name)
+            kind = self._scheduler.cluster.type_names.names[machine.type]
+            share = self._shard_of.get(machine.name)
             if share is None:
-                share = self._map.machine(machine.name, kind)
+                share = self._map.shard_of_machine(machine.name, kind)
             self._leaving[share].add(machine.name)
             # Counted as gone; its holder's next word says whether it is.
             machine.cordoned = True
 
     def _waits(self, share: int, waits: bool) -> None:
         if waits:
-            self._waiting_since.setdefault(share, self._core.now)
+            self._waiting_since.setdefault(share, self._scheduler.now)
         else:
             self._waiting_since.pop(share, None)
 
     def _fresh(self) -> list[Digest]:
-        now = self._core.now
-        return [digest for at, digest in self._digests.values() if now - at < STALE_S]
+        now = self._scheduler.now
+        return [digest for at, digest in self._summaries.values() if now - at < STALE_S]
 
-    def sums(
+    def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
         """What is needed over all, and at least so much that every share gets its own:
@@ -213,7 +215,7 @@
             [sum(sums[which][size] for sums in by_share.values()) for size in range(3)]
             for which in range(2)
         )
-        plain, now = self._map.plain, self._core.now
+        plain, now = self._map.plain, self._scheduler.now
         for share, sums in by_share.items():
             lacking = now - self._waiting_since.get(share, now) > LACKING_S
             if gpus or share not in plain or not lacking:
@@ -223,8 +225,8 @@
                     into[size] = max(into[size], amount * len(plain))
         return total, fixed
 
-    def needs(self, gpus: bool) -> list[CapacityNeed]:
-        cluster = self._core.cluster
+    def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
+        cluster = self._scheduler.cluster
         found = []
         for digest in self._fresh():
             spread_by = len(self._map.plain) if digest.share in self._map.plain else 1
@@ -245,13 +247,13 @@
                 )
         return found
 
-    def _give(self, machine: Machine, share: int) -> None:
+    def _hand_off(self, machine: Machine, share: int) -> None:
         """One of the first share's own, which it counts as that share's from now on."""
-        given = self._handing.give(machine.name, share)
+        given = self._transfer.hand_off(machine.name, share)
         if given is not None:
-            self._shadow(given.name, given.type, given.zone, given.spot, share)
+            self._shadow_machine(given.name, given.type, given.zone, given.spot, share)
 
-    def heard(self) -> dict[int, float]:
+    def summary_ages(self) -> dict[int, float]:
         """By share: how many seconds ago its holder was heard."""
-        now = self._core.now
-        return {share: round(now - at, 1) for share, (at, _) in sorted(self._digests.items())}
+        now = self._scheduler.now
+        return {share: round(now - at, 1) for share, (at, _) in sorted(self._summaries.items())}
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -9,9 +9,9 @@
 from appleshift.scheduler.job_requests import ReplyingScheduler
 from appleshift.state.cluster_state import Job
 
-DIGEST_S = 1.0
+SUMMARY_INTERVAL_S = 1.0
 """How often the leader hears of the other shares."""
-MACHINES_A_CALL = 600
+MAX_MACHINES_PER_CALL = 600
 
 
 class ShardScheduler(ReplyingScheduler, Protocol):
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -13,32 +13,32 @@
 import logging
 
 from appleshift.protocol.sharding import GivenMachine
-from appleshift.sharding.interfaces import MACHINES_A_CALL, ShardScheduler
+from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.state.cluster_state import HandedOffMachine
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
 
 
-class Handing:
+class MachineTransfer:
     """Of one term of a share: machines given away, and taken."""
 
     def __init__(self, core: ShardScheduler, number: int) -> None:
-        self._core = core
-        self._number = number
+        self._scheduler = core
+        self._shard = number
         # Given away, and not confirmed in this term; not what is not durably given
         # away yet: a successor here would have it still, and so would the other share.
-        self._untold: dict[str, HandedOffMachine] = dict(core.cluster.handed_off)
-        self.moved = 0
+        self._unconfirmed: dict[str, HandedOffMachine] = dict(core.cluster.handed_off)
+        self.transferred_count = 0
 
-    def give(self, name: str, share: int) -> HandedOffMachine | None:
+    def hand_off(self, name: str, share: int) -> HandedOffMachine | None:
         """Give a machine away, if nothing can be on it nor come to it any more."""
-        core, cluster = self._core, self._core.cluster
+        core, cluster = self._scheduler, self._scheduler.cluster
         machine = cluster.machine(name)
         if (
             machine is None
             or machine.in_other_shard
-            or share == self._number
+            or share == self._shard
             or not machine.agent_epoch
         ):
             return None
@@ -69,16 +69,16 @@
         cluster.handed_off[name] = given
 
         def durable() -> None:
-            self._untold[name] = given
+            self._unconfirmed[name] = given
 
         core.append_records([records.handed_off_record(given)], durable)
-        self.moved += 1
+        self.transferred_count += 1
         log.info("machine %s goes to share %d", name, share)
         return given
 
-    def take(self, told: GivenMachine) -> bool:
+    def accept(self, told: GivenMachine) -> bool:
         """Take a machine that was handed on; true once it is (or was) this share's."""
-        core, cluster = self._core, self._core.cluster
+        core, cluster = self._scheduler, self._scheduler.cluster
         known, given = cluster.machine(told.name), cluster.handed_off.get(told.name)
         if told.name in cluster.deleted_machines or (
             given is not None and given.transfer_count >= told.moves
@@ -93,7 +93,7 @@
             # Of a type that is not known here yet.
             return False
         cluster.handed_off.pop(told.name, None)
-        self._untold.pop(told.name, None)
+        self._unconfirmed.pop(told.name, None)
         machine.addr, machine.transfer_count, machine.min_fencing_token = (
             told.addr,
             told.moves,
@@ -104,12 +104,12 @@
         log.info("machine %s comes from another share", told.name)
         return True
 
-    def untold(self) -> dict[int, list[GivenMachine]]:
+    def unconfirmed(self) -> dict[int, list[GivenMachine]]:
         """By share: machines that it is to take."""
         found: dict[int, list[GivenMachine]] = {}
-        for each in self._untold.values():
+        for each in self._unconfirmed.values():
             given = found.setdefault(each.shard, [])
-            if len(given) < MACHINES_A_CALL:
+            if len(given) < MAX_MACHINES_PER_CALL:
                 given.append(
                     GivenMachine(
                         each.name,
@@ -125,5 +125,5 @@
 
     def confirmed(self, share: int, name: str) -> None:
         """That share has it, durably."""
-        if (each := self._untold.get(name)) and each.shard == share:
-            del self._untold[name]
+        if (each := self._unconfirmed.get(name)) and each.shard == share:
+            del self._unconfirmed[name]
--- a/appleshift/sharding/shard_assigner.py
+++ b/appleshift/sharding/shard_assigner.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-RANK_S = 0.3
+CANDIDACY_STEP_S = 0.3
 """So much longer waits each next heir of a share before it stands."""
-FIRST_RANK_S = 1.0
+STARTUP_CANDIDACY_STEP_S = 1.0
 """As long as nodes may still be starting, and learning of the map."""
 SETTLED_S = 8.0
 """A controller that came back is given shares once it has stayed so long."""
@@ -23,11 +23,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Controller:
+class ControllerLoad:
     """A node that is there, as another sees it."""
 
     name: str
-    held: int
+    held_shards: int
     """Shares that it holds."""
     since_s: float
     """For how long it has been there without a gap."""
@@ -35,7 +35,7 @@
     """It cannot take more than it has."""
 
 
-def heirs(share: int, controllers: Sequence[Controller]) -> list[str]:
+def candidates(share: int, controllers: Sequence[ControllerLoad]) -> list[str]:
     """Who is to stand for a share that nobody holds, in this order.
 
     The least loaded first; of equals the next in a turn that begins elsewhere for
@@ -44,10 +44,10 @@
     names = sorted(each.name for each in controllers)
     by_name = {each.name: each for each in controllers}
     turn = [names[(share + step) % len(names)] for step in range(len(names))]
-    return sorted(turn, key=lambda name: (by_name[name].crowded, by_name[name].held))
+    return sorted(turn, key=lambda name: (by_name[name].crowded, by_name[name].held_shards))
 
 
-class Steward:
+class ShardAssigner:
     """The leader's part: asks for moves so that all nodes hold about as many shares.
 
     A move costs the share some hundred milliseconds of service, so none is made
@@ -57,33 +57,33 @@
 
     def __init__(self, now: float) -> None:
         self.moves = 0
-        self._wanted: tuple[int, str] | None = None
+        self._wanted_move: tuple[int, str] | None = None
         self._since = now
         self._next = now + SETTLED_S
 
     def step(
-        self, now: float, holders: Mapping[int, str | None], controllers: Sequence[Controller]
+        self, now: float, holders: Mapping[int, str | None], controllers: Sequence[ControllerLoad]
     ) -> tuple[int, str] | None:
         """The move that is wanted now, as (share, node)."""
-        wanted = self._wanted
+        wanted = self._wanted_move
         if wanted is not None:
             share, target = wanted
             there = any(each.name == target for each in controllers)
             if holders.get(share) == target or not there or now - self._since > PATIENCE_S:
-                self._wanted = None
+                self._wanted_move = None
                 self._next = now + MOVE_GAP_S
-            return self._wanted
+            return self._wanted_move
         if now < self._next or any(holder is None for holder in holders.values()):
             return None
-        self._wanted = self._choose(holders, controllers)
-        if self._wanted is not None:
+        self._wanted_move = self._choose(holders, controllers)
+        if self._wanted_move is not None:
             self._since = now
             self.moves += 1
-        return self._wanted
+        return self._wanted_move
 
     @staticmethod
     def _choose(
-        holders: Mapping[int, str | None], controllers: Sequence[Controller]
+        holders: Mapping[int, str | None], controllers: Sequence[ControllerLoad]
     ) -> tuple[int, str] | None:
         count = {each.name: 0 for each in controllers}
         for holder in holders.values():
--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -17,7 +17,7 @@
 from appleshift.protocol.sharding import Epoch
 
 
-class ShareMap:
+class ShardMap:
     """The epochs, the newest last."""
 
     def __init__(self, epochs: list[Epoch], changing: bool = False, version: int = 0) -> None:
@@ -27,21 +27,21 @@
         self.changing = changing
         self.version = version
         # Shares that are no longer given anything are held for what they know.
-        self.shares = 1 + max(max(epoch.plain + epoch.homes) for epoch in epochs)
+        self.shard_count = 1 + max(max(epoch.plain + epoch.homes) for epoch in epochs)
 
     @property
     def plain(self) -> list[int]:
         return self.epochs[-1].plain
 
     @property
-    def takers(self) -> list[int]:
+    def submission_shards(self) -> list[int]:
         return self.epochs[-1].homes
 
     @property
     def cards(self) -> list[str]:
         return self.epochs[-1].cards
 
-    def homes(self, job_id: str) -> list[int]:
+    def home_shards(self, job_id: str) -> list[int]:
         """The share that takes a job of this id, then those where it may be from before."""
         number = xxh3_64_intdigest(job_id.encode())
         found: list[int] = []
@@ -51,7 +51,7 @@
                 found.append(home)
         return found
 
-    def machine(self, name: str, kind: str) -> int:
+    def shard_of_machine(self, name: str, kind: str) -> int:
         """The share of a machine. Names come in the order of their creation
         (PROTOCOL, "Controller nodes -> cloud"), so the epoch follows from the name."""
         epoch = self.epochs[0]
@@ -68,7 +68,7 @@
         return epoch.plain[number % len(epoch.plain)]
 
 
-def pinned(team: TeamLimits) -> bool:
+def is_pinned(team: TeamLimits) -> bool:
     """Is the team decided in the first share, so that one holder counts all it uses?
 
     That holds for whatever limits it beyond machines with GPUs, which are there
@@ -77,7 +77,7 @@
     return team.cpus > 0 or team.cpus_max > 0
 
 
-def epoch(
+def new_epoch(
     count: int,
     after: str,
     cards: list[str],
@@ -89,6 +89,6 @@
     ``busy`` shares have work from before: they go on getting machines for it, or
     what runs there and loses its machine could never start again.
     """
-    first = 0 if count <= 1 or any(pinned(team) for team in teams) else 1
+    first = 0 if count <= 1 or any(is_pinned(team) for team in teams) else 1
     homes = list(range(first, max(1, count)))
     return Epoch(count, after, cards, sorted({*homes, *busy}), homes)
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -37,11 +37,11 @@
     map_value,
 )
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.shard_replica import Holding, House
+from appleshift.shard_replica import NodeContext, ShardReplica
 from appleshift.sharding import shard_assigner
-from appleshift.sharding.shard_assigner import Controller, Steward
-from appleshift.sharding.shard_map import ShareMap, epoch
-from appleshift.sharding.sharding import Sharing
+from appleshift.sharding.shard_assigner import ControllerLoad, ShardAssigner
+from appleshift.sharding.shard_map import ShardMap, new_epoch
+from appleshift.sharding.sharding import Sharding
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import CompareFailedError, StoreError, recover
 from appleshift.storage.records import LogReplayer
@@ -61,172 +61,172 @@
 """After a start all siblings count as there: they may be a moment later."""
 
 
-class Keeper:
+class ShardMapFollower:
     """One for each node that goes by a map of shares."""
 
     def __init__(
         self,
-        house: House,
-        holdings: Mapping[int, Holding],
+        house: NodeContext,
+        holdings: Mapping[int, ShardReplica],
         neighbours: PeerMonitor,
-        grow: Callable[[Holding], None],
+        grow: Callable[[ShardReplica], None],
     ) -> None:
-        self.house = house
-        self.map: ShareMap | None = None
+        self.context = house
+        self.shard_map: ShardMap | None = None
         self.version = 0
-        self._holdings = holdings
-        self._neighbours = neighbours
-        self._grow = grow
-        self._pool = Pool(house.routines, "share-call", CALLS)
-        self._now = house.routines.now
+        self._replicas = holdings
+        self._peer_monitor = neighbours
+        self._add_replica = grow
+        self._pool = Pool(house.runtime, "share-call", CALLS)
+        self._now = house.runtime.now
         self._began = self._now()
         self._next_step = 0.0
-        self._steward: Steward | None = None
+        self._assigner: ShardAssigner | None = None
         self._move: tuple[int, str] | None = None
 
     def start(self) -> None:
-        self.house.routines.spawn("shares", self._read)
+        self.context.runtime.spawn("shares", self._follow_map)
 
     def stop(self) -> None:
         self._pool.stop()
 
     # -- the map ---------------------------------------------------------------------
 
-    def _read(self) -> None:
+    def _follow_map(self) -> None:
         """Learn of the map once there is one, and whenever a sibling has a newer."""
-        while not self.house.stop.is_set():
+        while not self.context.stop.is_set():
             try:
-                if self.map is None or self._neighbours.shard_map_version > self.version:
-                    self._adopt(*self._look())
+                if self.shard_map is None or self._peer_monitor.shard_map_version > self.version:
+                    self._install_map(*self._read_map())
             except (StoreError, ProtocolError) as error:
                 log.debug("map of shares: %s", error)
-            self.house.stop.wait(READ_GAP_S)
+            self.context.stop.wait(READ_GAP_S)
 
-    def _look(self) -> tuple[MapValue | None, int]:
-        item = self.house.store.get(MAP_KEY)
+    def _read_map(self) -> tuple[MapValue | None, int]:
+        item = self.context.store.get(MAP_KEY)
         return (None, 0) if item is None else (map_value(item.value), item.version)
 
-    def _adopt(self, value: MapValue | None, version: int) -> None:
+    def _install_map(self, value: MapValue | None, version: int) -> None:
         if value is None or version <= self.version:
             return
-        known = ShareMap(value.epochs, value.changing, version)
-        self.map, self.version = known, version
-        for share in range(1, known.shares):
-            if share not in self._holdings:
-                self._grow(
-                    Holding(
-                        self.house,
+        known = ShardMap(value.epochs, value.changing, version)
+        self.shard_map, self.version = known, version
+        for share in range(1, known.shard_count):
+            if share not in self._replicas:
+                self._add_replica(
+                    ShardReplica(
+                        self.context,
                         share,
                         self._guards,
-                        partial(self._hold_back, share),
+                        partial(self._candidacy_delay_s, share),
                     )
                 )
 
     def _guards(self) -> tuple[tuple[str, int], ...] | None:
         """Under which map a share other than the first may be held."""
-        known, version = self.map, self.version
+        known, version = self.shard_map, self.version
         return None if known is None or known.changing else ((MAP_KEY, version),)
 
-    def sharing(self, term: LeaderTerm, replay: LogReplayer) -> Sharing | None:
+    def sharding_for(self, term: LeaderTerm, replay: LogReplayer) -> Sharding | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
         TxnFailedError if the term is over.
         """
         if not term.shard:
-            self._settle(term, replay)
+            self._update_map(term, replay)
         elif term.extra_guards != ((MAP_KEY, self.version),):
             # Elected under a map that is not in force: nothing could be written.
             raise CompareFailedError([MAP_KEY])
-        if self.map is None:
+        if self.shard_map is None:
             return None
-        return Sharing(term.shard, self.map, self.house.settings.deployment.teams)
+        return Sharding(term.shard, self.shard_map, self.context.settings.deployment.teams)
 
-    def _settle(self, term: LeaderTerm, replay: LogReplayer) -> None:
+    def _update_map(self, term: LeaderTerm, replay: LogReplayer) -> None:
         """The leader makes the map what the operators want it to be."""
-        value, version = self._look()
-        wanted = self.house.operator.shares
+        value, version = self._read_map()
+        wanted = self.context.operator.shares
         if value is None and wanted <= 1:
             return
         last = Epoch(1) if value is None else value.epochs[-1]
         wanted = wanted or last.count
         if value is not None and not value.changing and wanted == last.count:
             leaving = {*last.plain} - {*last.homes}
-            if not leaving or leaving & self._busy(replay, leaving):
-                self._adopt(value, version)
+            if not leaving or leaving & self._shards_with_work(replay, leaving):
+                self._install_map(value, version)
                 return
-        kinds = replay.cluster.types or self.house.cloud.machine_types()
+        kinds = replay.cluster.types or self.context.cloud.machine_types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
-        teams = self.house.settings.deployment.teams
+        teams = self.context.settings.deployment.teams
         epochs: list[Epoch] = [] if value is None else value.epochs
         if value is not None:
-            version = self._write(term, MapValue(epochs, changing=True), version)
-        others = self._others(replay, ShareMap(epochs or [last]).shares)
-        names = {name for cluster in others.values() for name in _names(cluster)}
+            version = self._write_map(term, MapValue(epochs, changing=True), version)
+        others = self._recovered_shards(replay, ShardMap(epochs or [last]).shard_count)
+        names = {name for cluster in others.values() for name in _machine_names(cluster)}
         busy = {share for share, cluster in others.items() if cluster.jobs and share in last.plain}
         if value is None and (names or replay.cluster.jobs or replay.cluster.final_states):
             epochs = [last]
-        new = epoch(wanted, max(names, default=""), cards, teams, busy)
+        new = new_epoch(wanted, max(names, default=""), cards, teams, busy)
         epochs = [*epochs, new]
-        version = self._write(term, MapValue(epochs), version)
+        version = self._write_map(term, MapValue(epochs), version)
         log.info("map of shares, version %d: %s", version, msgspec.json.encode(epochs).decode())
-        self._adopt(MapValue(epochs), version)
+        self._install_map(MapValue(epochs), version)
 
-    def _write(self, term: LeaderTerm, value: MapValue, version: int) -> int:
+    def _write_map(self, term: LeaderTerm, value: MapValue, version: int) -> int:
         """Put the map in the place of that version; returns its own."""
         value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
-            kv.guard(self._holdings[0].election.key, term.key_version),
+            kv.guard(self._replicas[0].election.key, term.key_version),
             kv.guard(MAP_KEY, version),
         ]
         put = kv.put(MAP_KEY, msgspec.to_builtins(value))
         try:
-            return self.house.store.compare_and_swap(guards, [put])
+            return self.context.store.compare_and_swap(guards, [put])
         except CompareFailedError:
             # An earlier copy whose answer was lost may have got through.
-            found, version = self._look()
+            found, version = self._read_map()
             if found == value:
                 return version
             raise
 
-    def _others(self, replay: LogReplayer, shares: int) -> dict[int, ClusterState]:
+    def _recovered_shards(self, replay: LogReplayer, shares: int) -> dict[int, ClusterState]:
         """What the logs of all shares say; the first one's is recovered already."""
-        deployment = self.house.settings.deployment
+        deployment = self.context.settings.deployment
         found = {0: replay.cluster}
         for share in range(1, shares):
             other = LogReplayer(ClusterState(deployment.zones, deployment.teams))
-            recover(self.house.store, other, shard_prefix(share))
+            recover(self.context.store, other, shard_prefix(share))
             found[share] = other.cluster
         return found
 
-    def _busy(self, replay: LogReplayer, shares: set[int]) -> set[int]:
+    def _shards_with_work(self, replay: LogReplayer, shares: set[int]) -> set[int]:
         """Which of these shares have work."""
-        cluster = self._others(replay, max(shares) + 1)
+        cluster = self._recovered_shards(replay, max(shares) + 1)
         return {share for share in shares if cluster[share].jobs}
 
     # -- who holds what ------------------------------------------------------------------
 
-    def controllers(self, now: float) -> list[Controller]:
+    def controllers(self, now: float) -> list[ControllerLoad]:
         """Who is there, this node included."""
-        name = self.house.settings.name
-        held = sum(holding.leadership.is_leader for holding in [*self._holdings.values()])
-        found = [Controller(name, held, now - self._began)]
-        for sibling in self.house.siblings:
-            at, hello = self._neighbours.last_status.get(sibling, (float("-inf"), None))
+        name = self.context.settings.name
+        held = sum(holding.lease.is_leader for holding in [*self._replicas.values()])
+        found = [ControllerLoad(name, held, now - self._began)]
+        for sibling in self.context.peer_clients:
+            at, hello = self._peer_monitor.last_status.get(sibling, (float("-inf"), None))
             if hello is not None and now - at < PEER_STATUS_VALID_S and hello.shard_map_version:
                 count = len(hello.held_shards) + hello.leading
-                since = self._neighbours.reachable_since.get(sibling, now)
-                found.append(Controller(sibling, count, now - since))
+                since = self._peer_monitor.reachable_since.get(sibling, now)
+                found.append(ControllerLoad(sibling, count, now - since))
             elif now - self._began < GATHERING_S:
-                found.append(Controller(sibling, 0, 0.0))
+                found.append(ControllerLoad(sibling, 0, 0.0))
         return found
 
-    def wanted(self, now: float) -> tuple[int, str] | None:
+    def wanted_move(self, now: float) -> tuple[int, str] | None:
         """The move that the leader wants, as (share, node)."""
-        if self._holdings[0].leadership.may_answer(now):
+        if self._replicas[0].lease.may_answer(now):
             return self._move
         best: tuple[int, peers.PeerStatus] | None = None
-        for at, hello in list(self._neighbours.last_status.values()):
+        for at, hello in list(self._peer_monitor.last_status.values()):
             if (
                 hello.entitled
                 and now - at < PEER_STATUS_VALID_S
@@ -239,71 +239,71 @@
             ((share, name) for share, name in enumerate(best[1].preferred_holders) if name), None
         )
 
-    def _hold_back(self, share: int) -> float:
+    def _candidacy_delay_s(self, share: int) -> float:
         """How long others go first in standing for a share that is free."""
         now = self._now()
-        name = self.house.settings.name
+        name = self.context.settings.name
         controllers = self.controllers(now)
-        move = self.wanted(now)
+        move = self.wanted_move(now)
         ahead = 0
         if move is not None and move[0] == share:
             if move[1] == name:
                 return 0.0
             ahead = any(each.name == move[1] for each in controllers)
         # Who held it is gone, though what it said of itself is not old yet.
-        former = self._holdings[share].election.last_holder
+        former = self._replicas[share].election.last_holder
         there = [each for each in controllers if each.name == name or each.name != former]
-        rank = shard_assigner.heirs(share, there).index(name)
+        rank = shard_assigner.candidates(share, there).index(name)
         starting = now - self._began < GATHERING_S
-        return (rank + ahead) * (shard_assigner.FIRST_RANK_S if starting else shard_assigner.RANK_S)
+        return (rank + ahead) * (
+            shard_assigner.STARTUP_CANDIDACY_STEP_S if starting else shard_assigner.CANDIDACY_STEP_S
+        )
 
     def step(self, now: float) -> None:
         """Called by the cores' routine: ask for moves, or carry one out."""
-        if now < self._next_step or self.map is None:
+        if now < self._next_step or self.shard_map is None:
             return
         self._next_step = now + STEP_S
-        if self._holdings[0].leadership.may_answer(now):
-            if self._steward is None:
-                self._steward = Steward(now)
+        if self._replicas[0].lease.may_answer(now):
+            if self._assigner is None:
+                self._assigner = ShardAssigner(now)
             holders = {
                 share: holding.election.current_leader()
-                for share, holding in [*self._holdings.items()]
+                for share, holding in [*self._replicas.items()]
             }
-            self._hear(len(holders))
-            move = self._steward.step(now, holders, self.controllers(now))
+            self._set_max_machines(len(holders))
+            move = self._assigner.step(now, holders, self.controllers(now))
             if move is not None and move != self._move:
                 log.info("share %d is to move from %s to %s", move[0], holders[move[0]], move[1])
             self._move = move
         else:
-            self._steward, self._move = None, None
-        move = self.wanted(now)
-        if move is not None and move[1] != self.house.settings.name:
-            holding = self._holdings.get(move[0])
+            self._assigner, self._move = None, None
+        move = self.wanted_move(now)
+        if move is not None and move[1] != self.context.settings.name:
+            holding = self._replicas.get(move[0])
             there = any(each.name == move[1] for each in self.controllers(now))
-            if holding is not None and holding.leadership.may_write(now) and there:
+            if holding is not None and holding.lease.may_write(now) and there:
                 holding.hand_over()
 
-    def _hear(self, shares: int) -> None:
+    def _set_max_machines(self, shares: int) -> None:
         """How many machines may be rented: so many that each node hears its part.
 
         Beyond its places a node closes connections between reports, so that the
         machines that report at the same time need one, not all that there are.
         """
-        core = self._holdings[0].core
+        core = self._replicas[0].scheduler
         if core is not None:
-            limits = self.house.settings.deployment.machine_limits
+            limits = self.context.settings.deployment.machine_limits
             places = NodeLimits.from_machine_limits(limits, shared=True).machines
-            nodes = min(len(self.house.siblings) + 1, shares)
+            nodes = min(len(self.context.peer_clients) + 1, shares)
             core.fleet.set_max_machines(int(places * nodes * CLOSED))
 
-    def hello(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
+    def extend_status(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
         """What this node says of itself, with its shares."""
         shares = [
-            peers.HeldShard(
-                share, holding.leadership.fencing_token, holding.leadership.may_answer(now)
-            )
-            for share, holding in sorted([*self._holdings.items()])
-            if share and holding.leadership.is_leader
+            peers.HeldShard(share, holding.lease.fencing_token, holding.lease.may_answer(now))
+            for share, holding in sorted([*self._replicas.items()])
+            if share and holding.lease.is_leader
         ]
         wanted: list[str] = []
         move = self._move
@@ -315,17 +315,17 @@
 
     # -- calls between holders ---------------------------------------------------------------
 
-    def call(self, effect: CallShard, term: Any) -> None:
-        self._pool.submit(self._call, effect, term)
+    def call_shard(self, effect: CallShard, term: Any) -> None:
+        self._pool.submit(self._call_shard, effect, term)
 
-    def _call(self, effect: CallShard, term: Any) -> None:
-        back = _Back(self.house.post, term, effect.shard)
-        holding = self._holdings.get(effect.shard)
+    def _call_shard(self, effect: CallShard, term: Any) -> None:
+        back = _ReplyToScheduler(self.context.post, term, effect.shard)
+        holding = self._replicas.get(effect.shard)
         holder = None if holding is None else holding.election.current_leader()
-        if holder == self.house.settings.name:
-            self.house.post(events.ShardRequestReceived(effect.shard, back, effect.message))
+        if holder == self.context.settings.name:
+            self.context.post(events.ShardRequestReceived(effect.shard, back, effect.message))
             return
-        client = self.house.siblings.get(holder or "")
+        client = self.context.peer_clients.get(holder or "")
         answer = None
         try:
             if client is not None:
@@ -337,12 +337,12 @@
         back.put((200 if answer is not None else 503, answer, 0))
 
 
-def _names(cluster: ClusterState) -> set[str]:
+def _machine_names(cluster: ClusterState) -> set[str]:
     """Machines that were ever in use."""
     return {*cluster.machine_names.names, *cluster.deleted_machines}
 
 
-class _Back:
+class _ReplyToScheduler:
     """Where an answer goes that nobody waits for: it becomes an event of the term."""
 
     def __init__(self, post: Callable[[events.Event], None], term: Any, share: int) -> None:
