--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -12,8 +12,8 @@
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.protocol import users, workers
 from appleshift.protocol.wire import encode
-from appleshift.transport.client import Caller
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import HttpCaller
+from appleshift.transport.concurrency import Runtime
 from appleshift.transport.server import Response
 
 ANSWER_S = 4.0
@@ -110,12 +110,12 @@
     """Read by all connections' routines; nothing in it is replaced."""
 
     replicas: Mapping[int, ShardReplicaView]
-    peer_clients: dict[str, Caller]
+    peer_clients: dict[str, HttpCaller]
     post: Callable[[events.Event], None]
     """Hands an event to the core's routine."""
     load: Callable[[], float]
     """Length of the core's queue, in what a node should keep waiting."""
-    routines: Routines
+    routines: Runtime
     shard_map: Callable[[], ShardMapView | None] = lambda: None
 
     @property
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -20,7 +20,7 @@
 )
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
-from appleshift.transport.client import Answer
+from appleshift.transport.client import HttpAnswer
 from appleshift.transport.server import Response
 
 VALID_FOR = "Valid-For-Ms"
@@ -62,7 +62,7 @@
         headers = {**response.headers, VALID_FOR: str(int(left_s * 1000))}
         return Response(response.status, response.body, headers)
 
-    def forwarded_response(self, answer: Answer, asked_at: float) -> Response:
+    def forwarded_response(self, answer: HttpAnswer, asked_at: float) -> Response:
         """A sibling's answer to what it was asked then, as long as it is valid."""
         headers = {"Retry-After": answer.retry_after} if answer.retry_after else {}
         valid_for = answer.valid_for_ms
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -59,5 +59,5 @@
         if replica is None or self._context.is_led_elsewhere(replica):
             return unavailable()
         return self._context.ask(
-            events.ShardRequestReceived(call.to, self._context.routines.mailbox(), call.message)
+            events.ShardRequestReceived(call.to, self._context.routines.queue(), call.message)
         )
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -23,8 +23,8 @@
 from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
 from appleshift.storage.key_value_store import KeyValueStore
-from appleshift.transport.client import Caller
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import HttpCaller
+from appleshift.transport.concurrency import Runtime
 from appleshift.transport.server import Request, Response
 
 log = logging.getLogger(__name__)
@@ -36,11 +36,11 @@
     def __init__(
         self,
         replicas: Mapping[int, ShardReplicaView],
-        siblings: dict[str, Caller],
+        siblings: dict[str, HttpCaller],
         post: Callable[[events.Event], None],
         load: Callable[[], float],
         reaches: Callable[[str], bool],
-        routines: Routines,
+        routines: Runtime,
         store: KeyValueStore,
         hears: Callable[[], int] = lambda: 0,
         hello: Callable[[], peers.PeerStatus | None] = lambda: None,
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -62,7 +62,7 @@
             if relay is not None and relay != here:
                 return respond(421, workers.redirect(relay))
             return self._context.ask(
-                events.HeartbeatReceived(0, self._context.routines.mailbox(), report, tasks)
+                events.HeartbeatReceived(0, self._context.routines.queue(), report, tasks)
             )
         leader = election.current_leader()
         if relay == here and leader is not None and leader != here:
@@ -115,7 +115,7 @@
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
             return self._context.ask(
-                events.HeartbeatReceived(share, self._context.routines.mailbox(), report, tasks)
+                events.HeartbeatReceived(share, self._context.routines.queue(), report, tasks)
             )
         holder, here = replica.election.current_leader(), replica.election.name
         return respond(421, workers.redirect(None if holder == here else holder))
@@ -128,7 +128,7 @@
             return respond(error.status, users.error_body(error.reason))
         waiting: list[tuple[Response | None, Any]] = []
         for raw in batch.heartbeats:
-            slot = self._context.routines.mailbox()
+            slot = self._context.routines.queue()
             if (
                 self._context.is_led_elsewhere(self._context.first)
                 or self._context.load() > MAX_LOAD[events.HeartbeatReceived]
--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -26,9 +26,9 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 USAGE_ERROR = 2
-LISTEN_GAP_S = 0.1
-SAY_AGAIN_S = 30.0
-SEATS_PATIENCE_S = 30.0
+LISTEN_RETRY_S = 0.1
+LOG_REPEAT_S = 30.0
+COUNTED_RESOURCES_TIMEOUT_S = 30.0
 """Nodes answer 503 while nobody leads, and for pages that are read too fast."""
 
 
@@ -109,10 +109,10 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            if time.monotonic() - said_at > SAY_AGAIN_S:
+            if time.monotonic() - said_at > LOG_REPEAT_S:
                 logging.warning("waiting for an address that is in use: %s", error)
                 said_at = time.monotonic()
-        if ended.wait(LISTEN_GAP_S):
+        if ended.wait(LISTEN_RETRY_S):
             return False
 
 
@@ -161,7 +161,7 @@
                 return status, body
             time.sleep(0.5)
 
-    until = time.monotonic() + SEATS_PATIENCE_S
+    until = time.monotonic() + COUNTED_RESOURCES_TIMEOUT_S
     try:
         if history:
             for entry in display.history(ask):
--- a/appleshift/connectivity/hand_over.py
+++ b/appleshift/connectivity/hand_over.py
@@ -9,8 +9,8 @@
 from appleshift.connectivity.peers import CUT_OFF_DELAY_S, UNSURE_DELAY_S, PeerReport, PeerReports
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime
 
 log = logging.getLogger(__name__)
 
@@ -35,8 +35,8 @@
         state_answers: Callable[[], bool],
         leads: Callable[[], bool],
         give_up: Callable[[], None],
-        siblings: dict[str, Caller],
-        routines: Routines,
+        siblings: dict[str, HttpCaller],
+        routines: Runtime,
     ) -> None:
         """``asks``: does that worker answer? ``state_answers``: did the state service, when
         it was asked last? ``give_up``: hand over what this node holds, in order."""
@@ -48,7 +48,7 @@
         self._hand_over = give_up
         self._peer_clients = siblings
         self._routines = routines
-        self._stop = routines.flag()
+        self._stop = routines.event()
         self._workers_lost = False
 
     def start(self) -> None:
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -11,8 +11,8 @@
 from appleshift.protocol import license_server
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Pool, Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime, ThreadPool
 
 log = logging.getLogger(__name__)
 
@@ -26,8 +26,8 @@
     def __init__(
         self,
         post: Callable[[events.Event], None],
-        connect: Callable[[tuple[str, int]], Caller],
-        routines: Routines,
+        connect: Callable[[tuple[str, int]], HttpCaller],
+        routines: Runtime,
         entitled: Callable[[], bool],
     ) -> None:
         self._post = post
@@ -36,8 +36,8 @@
         # meanwhile may not lead any more. The server ignores its serial then,
         # but a heartbeat that never leaves can confuse nobody.
         self._entitled = entitled
-        self._pool = Pool(routines, "licence-call", CALLS)
-        self._clients: dict[str, Caller] = {}
+        self._pool = ThreadPool(routines, "licence-call", CALLS)
+        self._clients: dict[str, HttpCaller] = {}
 
     def send(self, ask: PendingReservationRequest, term: Any) -> None:
         client = self._clients.get(ask.address)
@@ -45,7 +45,7 @@
             client = self._clients[ask.address] = self._connect(split_address(ask.address))
         self._pool.submit(self._send, client, ask, term)
 
-    def _send(self, client: Caller, ask: PendingReservationRequest, term: Any) -> None:
+    def _send(self, client: HttpCaller, ask: PendingReservationRequest, term: Any) -> None:
         standing: license_server.Standing | None = None
         try:
             if self._entitled():
--- a/appleshift/dispatch/outbound_calls.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -14,8 +14,8 @@
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError, decode, encode
 from appleshift.protocol.workers import Heartbeat, decode_heartbeat
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Pool, RateBudget, Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import RateLimiter, Runtime, ThreadPool
 
 log = logging.getLogger(__name__)
 
@@ -24,21 +24,21 @@
 RENTAL_ATTEMPTS = 5
 
 Post = Callable[[events.Event], None]
-Connect = Callable[[tuple[str, int]], Caller]
+Connect = Callable[[tuple[str, int]], HttpCaller]
 
 
 class WorkerCalls:
     """Direct commands and probes, on a bounded set of routines."""
 
     def __init__(
-        self, post: Post, connect: Connect, routines: Routines, size: int, most: int
+        self, post: Post, connect: Connect, routines: Runtime, size: int, most: int
     ) -> None:
         self._post = post
         self._connect = connect
         self._most = most
-        self._pool = Pool(routines, "worker-call", size)
+        self._pool = ThreadPool(routines, "worker-call", size)
         # The most recently used last; sockets are limited.
-        self._clients: OrderedDict[str, Caller] = OrderedDict()
+        self._clients: OrderedDict[str, HttpCaller] = OrderedDict()
         self._lock = threading.Lock()
 
     def send_commands(self, effect: SendCommands, term: Any) -> None:
@@ -47,7 +47,7 @@
     def probe(self, effect: ProbeMachine, term: Any) -> None:
         self._pool.submit(self._probe, effect, term)
 
-    def _client(self, addr: str) -> Caller:
+    def _client(self, addr: str) -> HttpCaller:
         with self._lock:
             client = self._clients.get(addr)
             if client is None:
@@ -109,22 +109,22 @@
     def __init__(
         self,
         post: Post,
-        client: Caller,
-        routines: Routines,
+        client: HttpCaller,
+        routines: Runtime,
         rps: float,
         list_lag_s: float,
     ) -> None:
         self._post = post
         self._client = client
         self._routines = routines
-        self._budget = RateBudget(routines, max(1.0, rps * 0.9))
-        self._pool = Pool(routines, "cloud-call", 3)
+        self._budget = RateLimiter(routines, max(1.0, rps * 0.9))
+        self._pool = ThreadPool(routines, "cloud-call", 3)
         # A list may not take more than a quarter of the calls, page by page, and
         # asking much more often than it changes shows nothing new.
         self._page_gap_s = 4.0 / rps
         self._list_gap_s = max(1.0, list_lag_s / 3)
-        self._stop = routines.flag()
-        self._wake = routines.flag()
+        self._stop = routines.event()
+        self._wake = routines.event()
         self._term: Any = None
 
     def start(self) -> None:
@@ -156,7 +156,7 @@
         return cloud.decode_types(body)
 
     def _get(self, path: str) -> tuple[int, bytes]:
-        self._budget.wait()
+        self._budget.acquire()
         return self._client.request("GET", path, None, 3.0)
 
     def _rent(self, effect: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
@@ -169,7 +169,7 @@
             if self._stop.wait(0.5 * attempt) or not entitled():
                 break
             try:
-                self._budget.wait()
+                self._budget.acquire()
                 if not entitled():
                     break
                 status, answer = self._client.request("POST", "/machines", body, 3.0)
@@ -190,7 +190,7 @@
     def _delete(self, effect: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
         ok = False
         try:
-            self._budget.wait()
+            self._budget.acquire()
             if entitled():
                 body = encode(cloud.delete_body([*effect.machines]))
                 status, _ = self._client.request("POST", "/machines/delete", body, 3.0)
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -20,8 +20,8 @@
 
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Pool, Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime, ThreadPool
 
 log = logging.getLogger(__name__)
 
@@ -48,16 +48,16 @@
 class HeartbeatRelay:
     """One for each node; its routines start with the first report."""
 
-    def __init__(self, siblings: dict[str, Caller], routines: Routines) -> None:
+    def __init__(self, siblings: dict[str, HttpCaller], routines: Runtime) -> None:
         self._peer_clients = siblings
         self._routines = routines
-        self._pool = Pool(routines, "relay", CONCURRENT_CALLS)
+        self._pool = ThreadPool(routines, "relay", CONCURRENT_CALLS)
         self._lock = threading.Lock()
         self._waiting: deque[_PendingHeartbeat] = deque()
 
     def forward(self, leader: str, body: bytes) -> Answer:
         """The leader's answer to a report; 503 without one in time."""
-        entry = _PendingHeartbeat(leader, body, self._routines.mailbox())
+        entry = _PendingHeartbeat(leader, body, self._routines.queue())
         with self._lock:
             first = not self._waiting
             self._waiting.append(entry)
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -17,8 +17,8 @@
     LeaseExpiredError,
     StoreError,
 )
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime
 
 log = logging.getLogger(__name__)
 
@@ -66,13 +66,13 @@
         self,
         name: str,
         store: KeyValueStore,
-        peer_clients: dict[str, Caller],
+        peer_clients: dict[str, HttpCaller],
         lease: LeaderLease,
         operator: OperatorSettings,
         on_won: Callable[[LeaderTerm], None],
         on_lost: Callable[[], None],
         process_mark: str,
-        routines: Routines,
+        routines: Runtime,
         shard: int = 0,
         extra_guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
         candidacy_delay_s: Callable[[], float] = float,
@@ -104,7 +104,7 @@
         self._relays_seen_at: dict[str, float] = {}
         self._last_relayed_fraction = (float("-inf"), 0.0)
         self.relayed_fraction = 0.0
-        self._handing_over = routines.flag()
+        self._handing_over = routines.event()
         self._candidate_after = routines.now()
         self._leader_since = routines.now()
         self._leader_token = 0
@@ -113,9 +113,9 @@
         self._unresolved_lease_id: int | None = None
         self._routines = routines
         self._now = routines.now
-        self._renewal_failing = routines.flag()
-        self._stop = routines.flag()
-        self._fenced = routines.flag()
+        self._renewal_failing = routines.event()
+        self._stop = routines.event()
+        self._fenced = routines.event()
 
     def start(self) -> None:
         suffix = f"-{self.shard}" if self.shard else ""
@@ -457,7 +457,7 @@
                 seq += 1
                 self._request_vote(client, seq, 0.0)
 
-    def _request_vote(self, client: Caller, seq: int, for_s: float) -> str | None:
+    def _request_vote(self, client: HttpCaller, seq: int, for_s: float) -> str | None:
         """Ask for a promise; which process gave it, None: none did."""
         token = self.lease.fencing_token
         request = peers.LeaseVoteRequest(self.name, token, seq, for_s, self.shard, self.process_id)
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -14,7 +14,7 @@
     StoreError,
 )
 from appleshift.storage.write_ahead_log import Transaction
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.concurrency import Runtime
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
         store: KeyValueStore,
         post: Callable[[events.Event], None],
         current: Callable[[], Any],
-        routines: Routines,
+        routines: Runtime,
         name: str = "commit",
     ) -> None:
         self._name = name
@@ -37,8 +37,8 @@
         self._post = post
         self._current_term = current
         self._routines = routines
-        self._queue = routines.mailbox()
-        self._stop = routines.flag()
+        self._queue = routines.queue()
+        self._stop = routines.event()
 
     def start(self) -> None:
         self._routines.spawn(self._name, self._run)
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -13,8 +13,8 @@
 from appleshift.leader_election.election import LeaderElection
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime
 
 log = logging.getLogger(__name__)
 
@@ -36,16 +36,16 @@
 
     def __init__(
         self,
-        siblings: dict[str, Caller],
+        siblings: dict[str, HttpCaller],
         elections: Callable[[], Iterable[LeaderElection]],
-        routines: Routines,
+        routines: Runtime,
         reach: PeerStatusListener,
     ) -> None:
         self._connectivity = reach
         self._peer_clients = siblings
         self._elections = elections
         self._routines = routines
-        self._stop = routines.flag()
+        self._stop = routines.event()
         self.last_status: dict[str, tuple[float, peers.PeerStatus]] = {}
         """What each sibling said last, and when."""
         self.reachable_since: dict[str, float] = {}
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -27,9 +27,9 @@
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.shard_replica import NodeContext, ShardReplica
 from appleshift.storage.key_value_store import KeyValueStore
-from appleshift.transport.client import Caller, HttpClient
-from appleshift.transport.concurrency import Routines, Threads
-from appleshift.transport.server import Listener
+from appleshift.transport.client import HttpCaller, HttpClient
+from appleshift.transport.concurrency import Runtime, ThreadRuntime
+from appleshift.transport.server import HttpListener
 
 if TYPE_CHECKING:
     from appleshift.sharding.shard_map import ShardMap
@@ -39,10 +39,10 @@
 
 IDLE_WAIT_S = 0.1
 BUSY_WAIT_S = 0.02
-SPREAD_GAP_S = 1.0
-SAMPLE_GAP_S = 2.5
-RELAYS_S = 3.0
-CROWDED = 0.95
+RELAY_UPDATE_INTERVAL_S = 1.0
+SAMPLE_INTERVAL_S = 2.5
+RELAY_GRACE_S = 3.0
+CROWDED_SHARE = 0.95
 """Of its connections; above it, machines keep theirs only for a report."""
 
 
@@ -53,15 +53,15 @@
         self,
         settings: Settings,
         operator: OperatorSettings,
-        routines: Routines | None = None,
-        connect: Callable[[tuple[str, int]], Caller] = HttpClient,
+        routines: Runtime | None = None,
+        connect: Callable[[tuple[str, int]], HttpCaller] = HttpClient,
     ) -> None:
-        self.routines = routines = routines or Threads()
+        self.runtime = routines = routines or ThreadRuntime()
         self.settings = settings
         self.operator = operator
         deployment = settings.deployment
-        self._events = routines.mailbox()
-        self._stop = routines.flag()
+        self._events = routines.queue()
+        self._stop = routines.event()
         self._started = False
         siblings = {
             sibling.name: connect(split_address(sibling.peer_addr)) for sibling in settings.siblings
@@ -71,7 +71,7 @@
         self.store = KeyValueStore(
             connect(split_address(settings.external.state)), deployment.state.rps * share, routines
         )
-        self._capacity = capacity = NodeLimits.from_machine_limits(
+        self._limits = capacity = NodeLimits.from_machine_limits(
             deployment.machine_limits, operator.shares > 1
         )
         self.workers = WorkerCalls(
@@ -84,7 +84,7 @@
             deployment.cloud.rps,
             deployment.cloud.list_lag_s,
         )
-        self._house = NodeContext(
+        self._context = NodeContext(
             settings,
             operator,
             routines,
@@ -98,21 +98,21 @@
             self.cloud,
             self._stop,
         )
-        self.holdings = {0: ShardReplica(self._house)}
-        self.keeper: ShardMapFollower | None = None
-        self.reach = ConnectivityMonitor(
+        self.replicas = {0: ShardReplica(self._context)}
+        self.shard_map_follower: ShardMapFollower | None = None
+        self.connectivity = ConnectivityMonitor(
             self.workers.is_reachable,
             lambda: self.store.is_answering,
-            lambda: any(each.lease.is_leader for each in [*self.holdings.values()]),
+            lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
             siblings,
             routines,
         )
         if siblings:
-            self._house.candidacy_delay_s = self.reach.candidacy_delay_s
-        self._neighbours = PeerMonitor(siblings, self._elections, routines, self.reach)
+            self._context.candidacy_delay_s = self.connectivity.candidacy_delay_s
+        self._peer_monitor = PeerMonitor(siblings, self._all_elections, routines, self.connectivity)
         self.router = RequestRouter(
-            self.holdings,
+            self.replicas,
             siblings,
             self._post,
             lambda: self._events.qsize() / capacity.max_queued,
@@ -120,30 +120,30 @@
             routines,
             self.store,
             lambda: relay_assignment.max_machines(capacity.machines, len(self.election.relays())),
-            self._hello,
-            self._map,
-            lambda: self._connections() > CROWDED * capacity.connections,
-            self.reach.heartbeat_received,
+            self._own_status,
+            self._shard_map,
+            lambda: self._connections() > CROWDED_SHARE * capacity.connections,
+            self.connectivity.heartbeat_received,
         )
-        self._load = LoadMonitor(deployment.machine_limits, capacity, routines.now())
-        self._listeners: list[Listener] = []
-        self._next_spread = self._next_sample = self._relayed_at = 0.0
+        self._load_monitor = LoadMonitor(deployment.machine_limits, capacity, routines.now())
+        self._listeners: list[HttpListener] = []
+        self._next_relay_update = self._next_sample_update = self._relays_seen_at = 0.0
         if operator.shares > 1:
-            self._keep()
+            self._follow_shard_map()
 
     # The first share's, which is the leader's.
 
     @property
-    def leadership(self) -> LeaderLease:
-        return self.holdings[0].lease
+    def lease(self) -> LeaderLease:
+        return self.replicas[0].lease
 
     @property
     def election(self) -> LeaderElection:
-        return self.holdings[0].election
+        return self.replicas[0].election
 
     @property
-    def core(self) -> Scheduler | None:
-        return self.holdings[0].scheduler
+    def scheduler(self) -> Scheduler | None:
+        return self.replicas[0].scheduler
 
     # -- life -----------------------------------------------------------------
 
@@ -155,11 +155,11 @@
         """
         settings = self.settings
         doors = (
-            (settings.cluster_listen, self.router.cluster, self._capacity.peers, "cluster"),
-            (settings.listen, self.router.public, self._capacity.connections, "listen"),
+            (settings.cluster_listen, self.router.cluster, self._limits.peers, "cluster"),
+            (settings.listen, self.router.public, self._limits.connections, "listen"),
         )
         for address, app, limit, name in doors[len(self._listeners) :]:
-            self._listeners.append(Listener(split_address(address), app, limit, name))
+            self._listeners.append(HttpListener(split_address(address), app, limit, name))
 
     def start(self) -> None:
         # What was loaded at start lives for good: the collector may skip it.
@@ -168,18 +168,18 @@
         # A leader holds some hundred thousand objects and makes thousands a
         # second, hardly any in cycles: looking for those less often is enough.
         gc.set_threshold(20_000, 20, 20)
-        self.routines.spawn("core", self._run)
+        self.runtime.spawn("core", self._run_loop)
         self.cloud.start()
         for listener in self._listeners:
             listener.start()
         self._started = True
-        for holding in [*self.holdings.values()]:
+        for holding in [*self.replicas.values()]:
             holding.start()
-        self._neighbours.start()
+        self._peer_monitor.start()
         if self.settings.siblings:
-            self.reach.start()
-        if self.keeper is not None:
-            self.keeper.start()
+            self.connectivity.start()
+        if self.shard_map_follower is not None:
+            self.shard_map_follower.start()
         log.info("%s serves on %s", self.settings.name, self.settings.listen)
 
     def stop(self) -> None:
@@ -188,9 +188,9 @@
         In this order: once the addresses are free, another process may be this node.
         """
         self._stop.set()
-        self._neighbours.stop()
-        self.reach.stop()
-        for holding in [*self.holdings.values()]:
+        self._peer_monitor.stop()
+        self.connectivity.stop()
+        for holding in [*self.replicas.values()]:
             holding.stop()
             self._post(events.LeadershipLost(holding.shard))
         for listener in self._listeners:
@@ -198,40 +198,42 @@
         self.cloud.stop()
         self.workers.stop()
         self.router.stop()
-        if self.keeper is not None:
-            self.keeper.stop()
-        if self._house.license_servers is not None:
-            self._house.license_servers.stop()
+        if self.shard_map_follower is not None:
+            self.shard_map_follower.stop()
+        if self._context.license_servers is not None:
+            self._context.license_servers.stop()
 
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
 
     # -- shares ------------------------------------------------------------------
 
-    def _elections(self) -> list[LeaderElection]:
-        return [holding.election for holding in [*self.holdings.values()]]
+    def _all_elections(self) -> list[LeaderElection]:
+        return [holding.election for holding in [*self.replicas.values()]]
 
-    def _map(self) -> ShardMap | None:
-        return None if self.keeper is None else self.keeper.shard_map
+    def _shard_map(self) -> ShardMap | None:
+        return None if self.shard_map_follower is None else self.shard_map_follower.shard_map
 
-    def _keep(self) -> None:
+    def _follow_shard_map(self) -> None:
         """From now on this node goes by the map of shares."""
         from appleshift.sharding.shard_map_follower import ShardMapFollower
 
-        self.keeper = ShardMapFollower(self._house, self.holdings, self._neighbours, self._grow)
-        self._house.shard_map_follower = self.keeper
+        self.shard_map_follower = ShardMapFollower(
+            self._context, self.replicas, self._peer_monitor, self._add_replica
+        )
+        self._context.shard_map_follower = self.shard_map_follower
         if self._started:
-            self.keeper.start()
+            self.shard_map_follower.start()
 
-    def _grow(self, holding: ShardReplica) -> None:
+    def _add_replica(self, holding: ShardReplica) -> None:
         """The map has a share more."""
-        self.holdings[holding.shard] = holding
+        self.replicas[holding.shard] = holding
         if self._started:
             holding.start()
 
-    def _hello(self) -> peers.PeerStatus:
-        now = self.routines.now()
-        first = self.holdings[0]
+    def _own_status(self) -> peers.PeerStatus:
+        now = self.runtime.now()
+        first = self.replicas[0]
         leadership, election = first.lease, first.election
         hello = peers.PeerStatus(
             election.name,
@@ -240,35 +242,41 @@
             leadership.may_answer(now),
             election.relayed_fraction if leadership.is_leader else 0.0,
             # Once a quarter of the machines were sent to a relay that none of them reached.
-            election.can_relay() and not self.reach.worker_contacts.is_lost(),
-            process_id=self._house.process_id,
-            connectivity=self.reach.own_connectivity(now),
-            worker_sample=[*self.reach.worker_contacts.sample] if leadership.is_leader else [],
+            election.can_relay() and not self.connectivity.worker_contacts.is_lost(),
+            process_id=self._context.process_id,
+            connectivity=self.connectivity.own_connectivity(now),
+            worker_sample=[*self.connectivity.worker_contacts.sample]
+            if leadership.is_leader
+            else [],
+        )
+        return (
+            hello
+            if self.shard_map_follower is None
+            else self.shard_map_follower.extend_status(hello, now)
         )
-        return hello if self.keeper is None else self.keeper.extend_status(hello, now)
 
     # -- the cores' routine ------------------------------------------------------
 
-    def _run(self) -> None:
+    def _run_loop(self) -> None:
         while not self._stop.is_set():
             try:
-                self._round()
+                self._run_round()
             except Exception:
                 # The cores' state can no longer be trusted; what is durable
                 # can. Other terms start from there.
                 log.exception("core failed: giving up this term")
-                for holding in [*self.holdings.values()]:
+                for holding in [*self.replicas.values()]:
                     holding.scheduler = holding.term = None
                     holding.election.step_down()
                 self.cloud.set_term(None)
 
-    def _round(self) -> None:
-        holdings = [*self.holdings.values()]
+    def _run_round(self) -> None:
+        holdings = [*self.replicas.values()]
         busy = any(holding.is_busy() for holding in holdings)
         event: events.Event | None = None
         with contextlib.suppress(queue.Empty):
             event = self._events.get(timeout=BUSY_WAIT_S if busy else IDLE_WAIT_S)
-        began, handled = self.routines.now(), 0
+        began, handled = self.runtime.now(), 0
         if event is not None:
             # What waits by now; no event may be taken out without being handled,
             # or a reply or a commit's outcome is lost for good.
@@ -278,58 +286,64 @@
                 self._handle(self._events.get_nowait())
         for holding in holdings:
             holding.run_round()
-        if self.keeper is not None:
-            self.keeper.step(self.routines.now())
-        elif self._neighbours.shard_map_version:
+        if self.shard_map_follower is not None:
+            self.shard_map_follower.step(self.runtime.now())
+        elif self._peer_monitor.shard_map_version:
             # A sibling goes by a map of shares that this node was not told of.
-            self._keep()
-        core = self.core
+            self._follow_shard_map()
+        core = self.scheduler
         if core is not None:
             if core.sharding is None:
-                self._spread(core, self.routines.now())
-            self._sample(core, self.routines.now())
-        self._load.round_finished(began, self.routines.now(), handled, self._connections())
+                self._update_relayed_fraction(core, self.runtime.now())
+            self._update_worker_sample(core, self.runtime.now())
+        self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
         if handled:
             # What comes meanwhile is handled at once in the next round: to wake
             # for each event alone costs more than most events do.
-            self.routines.sleep(self._capacity.round_pause_s)
+            self.runtime.sleep(self._limits.round_pause_s)
 
     def _connections(self) -> int:
         return self._listeners[-1].connections() if self._listeners else 0
 
     def _handle(self, event: events.Event) -> None:
         if isinstance(event, events.HandOverRequested):
-            for holding in [*self.holdings.values()]:
+            for holding in [*self.replicas.values()]:
                 holding.handle(event)
         else:
-            self.holdings[event.shard].handle(event)
+            self.replicas[event.shard].handle(event)
 
-    def _sample(self, core: Scheduler, now: float) -> None:
+    def _update_worker_sample(self, core: Scheduler, now: float) -> None:
         """Name some workers, over the zones, that others may ask whether they reach any."""
-        if now < self._next_sample:
+        if now < self._next_sample_update:
             return
-        self._next_sample = now + SAMPLE_GAP_S
+        self._next_sample_update = now + SAMPLE_INTERVAL_S
         if not core.cluster.machines:
-            self.reach.worker_contacts.forget()
+            self.connectivity.worker_contacts.forget()
         by_zone: dict[int, list[str]] = {}
         for machine in core.cluster.machines.values():
             some = by_zone.setdefault(machine.zone, [])
-            if machine.addr and now - machine.last_heard < SAMPLE_GAP_S and len(some) < SAMPLE_SIZE:
+            if (
+                machine.addr
+                and now - machine.last_heard < SAMPLE_INTERVAL_S
+                and len(some) < SAMPLE_SIZE
+            ):
                 some.append(machine.addr)
         rows = zip_longest(*(by_zone[zone] for zone in sorted(by_zone)))
-        self.reach.worker_contacts.set_sample(address for row in rows for address in row if address)
+        self.connectivity.worker_contacts.set_sample(
+            address for row in rows for address in row if address
+        )
 
-    def _spread(self, core: Scheduler, now: float) -> None:
+    def _update_relayed_fraction(self, core: Scheduler, now: float) -> None:
         """Send some machines' reports to other nodes if they are too many for this one."""
-        if now < self._next_spread:
+        if now < self._next_relay_update:
             return
-        self._next_spread = now + SPREAD_GAP_S
-        places = self._capacity.machines
+        self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
+        places = self._limits.machines
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
-        self._relayed_at = max(self._relayed_at, core.started)
+        self._relays_seen_at = max(self._relays_seen_at, core.started)
         if relays:
-            self._relayed_at = now
-        elif self.operator.spread_reports and now - self._relayed_at < RELAYS_S:
+            self._relays_seen_at = now
+        elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
         core.fleet.set_max_machines(relay_assignment.max_machines(places, relays))
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -39,8 +39,8 @@
 )
 from appleshift.storage.records import LogReplayer, RecordFollower
 from appleshift.storage.write_ahead_log import WriteAheadLog, shard_prefix
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import Runtime
 
 if TYPE_CHECKING:
     from appleshift.counted_resources.license_calls import LicenseServerCalls
@@ -71,10 +71,10 @@
 
     settings: Settings
     operator: OperatorSettings
-    runtime: Routines
+    runtime: Runtime
     store: KeyValueStore
-    peer_clients: dict[str, Caller]
-    connect: Callable[[tuple[str, int]], Caller]
+    peer_clients: dict[str, HttpCaller]
+    connect: Callable[[tuple[str, int]], HttpCaller]
     post: Callable[[events.Event], None]
     process_id: str
     workers: WorkerCalls
@@ -162,7 +162,7 @@
         if isinstance(event, events.HeartbeatReceived):
             core.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
         elif isinstance(event, events.SubmitJob):
-            wall = self.context.runtime.wall()
+            wall = self.context.runtime.wall_time()
             core.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
         elif isinstance(event, events.GetJobStatus):
             core.job_requests.status(
@@ -225,9 +225,9 @@
         if core is None:
             return
         now = routines.now()
-        core.step(now, routines.wall())
+        core.step(now, routines.wall_time())
         if self.achieved_objectives is not None:
-            self.achieved_objectives.step(now, routines.wall())
+            self.achieved_objectives.step(now, routines.wall_time())
         if self.lease.may_write(now):
             txn = core.log.next_transaction(now)
             if txn is not None:
@@ -337,12 +337,12 @@
             replay,
             journal,
             house.runtime.now,
-            house.runtime.wall(),
+            house.runtime.wall_time(),
             self._counted_resources(replay, journal, term),
             sharing,
         )
         self.achieved_objectives = AchievedObjectives(
-            self.scheduler.cluster, self.scheduler.objectives, now, house.runtime.wall()
+            self.scheduler.cluster, self.scheduler.objectives, now, house.runtime.wall_time()
         )
         self.term = term
         if not self.shard:
@@ -370,7 +370,11 @@
         from appleshift.counted_resources.scheduler_part import build
 
         return build(
-            self.context.operator, replay, journal, term.fencing_token, self.context.runtime.wall()
+            self.context.operator,
+            replay,
+            journal,
+            term.fencing_token,
+            self.context.runtime.wall_time(),
         )
 
     def end_term(self) -> None:
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -47,7 +47,7 @@
 from appleshift.storage.records import LogReplayer
 from appleshift.storage.write_ahead_log import shard_prefix
 from appleshift.transport.client import ClientError
-from appleshift.transport.concurrency import Pool
+from appleshift.transport.concurrency import ThreadPool
 
 log = logging.getLogger(__name__)
 
@@ -77,7 +77,7 @@
         self._replicas = holdings
         self._peer_monitor = neighbours
         self._add_replica = grow
-        self._pool = Pool(house.runtime, "share-call", CALLS)
+        self._pool = ThreadPool(house.runtime, "share-call", CALLS)
         self._now = house.runtime.now
         self._began = self._now()
         self._next_step = 0.0
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -17,8 +17,8 @@
     final_key,
     log_key,
 )
-from appleshift.transport.client import Caller, ClientError
-from appleshift.transport.concurrency import RateBudget, Routines
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import RateLimiter, Runtime
 
 PAGE_ITEMS = 1000
 """As many as the service puts into an answer. It cuts one short by size, too, so
@@ -49,14 +49,14 @@
 class KeyValueStore:
     """Blocking calls; every failure is one of the errors above."""
 
-    def __init__(self, client: Caller, rps: float, routines: Routines) -> None:
+    def __init__(self, client: HttpCaller, rps: float, routines: Runtime) -> None:
         self._client = client
-        self._budget = RateBudget(routines, max(1.0, rps))
+        self._budget = RateLimiter(routines, max(1.0, rps))
         self.is_answering = False
         """Whether it did when it was asked last."""
 
     def _call(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        self._budget.wait()
+        self._budget.acquire()
         try:
             data = None if body is None else encode(body)
             status, answer = self._client.request(method, path, data, timeout)
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpAnswer:
     """A response, with the headers that callers go by."""
 
     status: int
@@ -31,7 +31,7 @@
     """No usable answer. The request may have been executed, or may yet be."""
 
 
-class Caller(Protocol):
+class HttpCaller(Protocol):
     """Requests to one address."""
 
     def request(
@@ -40,7 +40,7 @@
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> Answer: ...
+    ) -> HttpAnswer: ...
 
     def close(self) -> None: ...
 
@@ -69,8 +69,8 @@
             # Asked later, the parser would speak of the message to come.
             self.reusable = self.parser.should_keep_alive()
 
-    def whole(self) -> Answer:
-        return Answer(
+    def whole(self) -> HttpAnswer:
+        return HttpAnswer(
             self.parser.get_status_code(),
             b"".join(self.parts),
             self.headers.get(RETRY_AFTER),
@@ -101,7 +101,7 @@
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> Answer:
+    ) -> HttpAnswer:
         """Like ``request``, with the answer's headers."""
         if not path.isascii() or any(character in path for character in " \r\n"):
             raise ClientError(f"{path!r} cannot stand in a request line")
@@ -112,7 +112,7 @@
         connection: socket.socket | None = None
         reused = False
         try:
-            connection, reused = self._take(timeout)
+            connection, reused = self._acquire(timeout)
             connection.sendall(head.encode() + b"\r\n" + (body or b""))
             answer = self._receive(connection, until)
         except (OSError, ValueError, httptools.HttpParserError) as error:
@@ -125,7 +125,7 @@
                 self.close()
             raise ClientError(f"{self._host}:{self._port}{path}: {error!r}") from None
         if answer.reusable:
-            self._give(connection)
+            self._release(connection)
         else:
             connection.close()
         return answer.whole()
@@ -150,7 +150,7 @@
                 connection.settimeout(left)
         return answer
 
-    def _take(self, timeout: float) -> tuple[socket.socket, bool]:
+    def _acquire(self, timeout: float) -> tuple[socket.socket, bool]:
         """A connection, and whether it has served before."""
         now = time.monotonic()
         with self._lock:
@@ -167,7 +167,7 @@
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return connection, False
 
-    def _give(self, connection: socket.socket) -> None:
+    def _release(self, connection: socket.socket) -> None:
         with self._lock:
             if len(self._free) < self._keep:
                 self._free.append((connection, time.monotonic()))
--- a/appleshift/transport/concurrency.py
+++ b/appleshift/transport/concurrency.py
@@ -19,7 +19,7 @@
 STACK_BYTES = 256 * 1024
 
 
-class Mailbox(Protocol):
+class Queue(Protocol):
     """A queue; ``get`` raises ``queue.Empty`` when the time runs out."""
 
     def put(self, item: Any) -> None: ...
@@ -31,7 +31,7 @@
     def qsize(self) -> int: ...
 
 
-class Flag(Protocol):
+class Event(Protocol):
     """An event that routines can wait for."""
 
     def set(self) -> None: ...
@@ -43,27 +43,27 @@
     def wait(self, timeout: float | None = None) -> bool: ...
 
 
-class Routines(Protocol):
+class Runtime(Protocol):
     """What a node's routines run on."""
 
     def now(self) -> float:
         """The steady clock."""
         ...
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Time of day."""
         ...
 
     def sleep(self, seconds: float) -> None: ...
 
-    def mailbox(self) -> Mailbox: ...
+    def queue(self) -> Queue: ...
 
-    def flag(self) -> Flag: ...
+    def event(self) -> Event: ...
 
     def spawn(self, name: str, target: Callable[..., None], *args: Any) -> None: ...
 
 
-class Threads:
+class ThreadRuntime:
     """Routines as threads of the operating system."""
 
     def __init__(self) -> None:
@@ -71,30 +71,30 @@
         threading.stack_size(STACK_BYTES)
 
     now = staticmethod(time.monotonic)
-    wall = staticmethod(time.time)
+    wall_time = staticmethod(time.time)
     sleep = staticmethod(time.sleep)
 
-    def mailbox(self) -> Mailbox:
+    def queue(self) -> Queue:
         return queue.SimpleQueue()
 
-    def flag(self) -> Flag:
+    def event(self) -> Event:
         return threading.Event()
 
     def spawn(self, name: str, target: Callable[..., None], *args: Any) -> None:
         threading.Thread(target=target, args=args, name=name, daemon=True).start()
 
 
-class Pool:
+class ThreadPool:
     """A bounded set of routines that carry out calls; started when needed."""
 
-    def __init__(self, routines: Routines, name: str, size: int) -> None:
+    def __init__(self, routines: Runtime, name: str, size: int) -> None:
         self._routines = routines
         self._name = name
         self._size = size
         self._started = 0
         self._idle = 0
         self._lock = threading.Lock()
-        self._calls = routines.mailbox()
+        self._calls = routines.queue()
         self._stopped = False
 
     def submit(self, call: Callable[..., None], *args: Any) -> None:
@@ -138,26 +138,26 @@
                 log.exception("%s failed", self._name)
 
 
-class RateBudget:
+class RateLimiter:
     """Keeps calls below a rate with bursts of one second's worth."""
 
-    def __init__(self, routines: Routines, rate: float) -> None:
+    def __init__(self, routines: Runtime, rate: float) -> None:
         self._routines = routines
         self._rate = rate
         self._level = rate
         self._at = routines.now()
         self._lock = threading.Lock()
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one call's worth, if there is any."""
-        return self._missing_s() == 0.0
+        return self._wait_s() == 0.0
 
-    def wait(self) -> None:
+    def acquire(self) -> None:
         """Take one call's worth, waiting for it if need be."""
-        while missing := self._missing_s():
+        while missing := self._wait_s():
             self._routines.sleep(missing)
 
-    def _missing_s(self) -> float:
+    def _wait_s(self) -> float:
         """0 with one call's worth taken, else how long it takes to come."""
         with self._lock:
             now = self._routines.now()
