--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -74,7 +74,7 @@
         """Has its core that machine?"""
         ...
 
-    def unchanged_response(self, report: workers.HeartbeatHeader, now: float) -> bytes | None:
+    def unchanged_response(self, heartbeat: workers.HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; None: the core must see it."""
         ...
 
@@ -115,7 +115,7 @@
     """Hands an event to the core's routine."""
     load: Callable[[], float]
     """Length of the core's queue, in what a node should keep waiting."""
-    routines: Runtime
+    runtime: Runtime
     shard_map: Callable[[], ShardMapView | None] = lambda: None
 
     @property
@@ -124,7 +124,7 @@
         return self.replicas[0]
 
     def entitled(self, replica: ShardReplicaView) -> bool:
-        return replica.lease.may_answer(self.routines.now())
+        return replica.lease.may_answer(self.runtime.now())
 
     def is_led_elsewhere(self, replica: ShardReplicaView) -> bool:
         """Only its holder answers for a share. One whose lease lapsed sends users on to
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -39,7 +39,7 @@
             # The sender's idea of the leader is out of date; it asks again.
             return unavailable()
         context = self._context
-        until = context.routines.now() + HOLD_S
+        until = context.runtime.now() + HOLD_S
         while True:
             leader = replica.election.current_leader()
             if leader == replica.election.name and context.entitled(replica):
@@ -49,12 +49,12 @@
                 break
             # A query may wait a moment for an election to end. A submission
             # is answered at once: its user is better off asking again.
-            if not hold or context.routines.now() >= until:
+            if not hold or context.runtime.now() >= until:
                 return unavailable()
-            context.routines.sleep(0.05)
+            context.runtime.sleep(0.05)
         try:
             body = request.body if request.method == "POST" else None
-            asked_at = context.routines.now()
+            asked_at = context.runtime.now()
             answer = client.request_full(request.method, request.path, body, FORWARD_S)
         except ClientError as error:
             log.debug("forwarding: %s", error)
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -56,7 +56,7 @@
         if response.status == 201:
             # What this request itself wrote; nobody was told anything of it before.
             return response
-        left_s = replica.lease.valid_for_s(self._context.routines.now())
+        left_s = replica.lease.valid_for_s(self._context.runtime.now())
         if left_s <= 0.0 or (response.status == 404 and told is not None):
             return unavailable()
         headers = {**response.headers, VALID_FOR: str(int(left_s * 1000))}
@@ -72,6 +72,6 @@
         until = asked_at + int(valid_for) / 1000 / CLOCK_DRIFT
 
         def revalidate(received: Response) -> Response:
-            return received if self._context.routines.now() < until else unavailable()
+            return received if self._context.runtime.now() < until else unavailable()
 
         return Response(answer.status, answer.body, headers, revalidate=revalidate)
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -32,7 +32,7 @@
         self._forwarder = forwarder
         self._store = store
         self._max_machines = hears
-        self._pages = RateLimiter(context.routines, PAGES_RPS)
+        self._pages = RateLimiter(context.runtime, PAGES_RPS)
 
     def ready(self) -> Response:
         """While most of what users may need can be reached from here."""
@@ -79,7 +79,7 @@
                 self._forwarder.forward(self._context.first, request, forwarded, hold=True)
                 if self._context.is_led_elsewhere(self._context.first)
                 else self._context.ask(
-                    events.GetCountedResources(0, self._context.routines.queue(), None)
+                    events.GetCountedResources(0, self._context.runtime.queue(), None)
                 )
             )
         if what not in ("pages", "after") or not number.isdecimal() or len(number) > 18:
@@ -90,7 +90,7 @@
         if self._context.is_led_elsewhere(self._context.first):
             return self._forwarder.forward(self._context.first, request, forwarded, hold=True)
         return self._context.ask(
-            events.GetCountedResources(0, self._context.routines.queue(), int(number) - 1)
+            events.GetCountedResources(0, self._context.runtime.queue(), int(number) - 1)
         )
 
     def _audit_page(self, number: int) -> Response:
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -55,9 +55,11 @@
             call = sharding.decode_call(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
-        replica = self._context.replicas.get(call.to)
+        replica = self._context.replicas.get(call.target_shard)
         if replica is None or self._context.is_led_elsewhere(replica):
             return unavailable()
         return self._context.ask(
-            events.ShardRequestReceived(call.to, self._context.routines.queue(), call.message)
+            events.ShardRequestReceived(
+                call.target_shard, self._context.runtime.queue(), call.message
+            )
         )
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -40,7 +40,7 @@
         post: Callable[[events.Event], None],
         load: Callable[[], float],
         reaches: Callable[[str], bool],
-        routines: Runtime,
+        runtime: Runtime,
         store: KeyValueStore,
         hears: Callable[[], int] = lambda: 0,
         hello: Callable[[], peers.PeerStatus | None] = lambda: None,
@@ -48,7 +48,7 @@
         crowded: Callable[[], bool] = lambda: False,
         heard: Callable[[], None] = lambda: None,
     ) -> None:
-        context = ApiContext(replicas, siblings, post, load, routines, share_map)
+        context = ApiContext(replicas, siblings, post, load, runtime, share_map)
         freshness = ResponseFreshness(context)
         forwarder = Forwarder(
             context, freshness, lambda request: self._route(request, forwarded=True)
@@ -71,7 +71,7 @@
             return self._peers.lease_vote(request.body)
         if request.path == peers.PEER_STATUS_PATH and request.method == "GET":
             return self._peers.peer_status()
-        if request.path == sharding.SHARE_PATH and request.method == "POST":
+        if request.path == sharding.SHARD_CALL_PATH and request.method == "POST":
             return self._peers.shard_call(request.body)
         if request.path == peers.HEARTBEAT_BATCH_PATH and request.method == "POST":
             return self._workers.relayed_heartbeats(request.body)
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -45,7 +45,7 @@
         spec = users.decode_submission(request.body)
 
         def event(share: int, homed: bool, version: int) -> events.SubmitJob:
-            return events.SubmitJob(share, self._context.routines.queue(), spec, homed)
+            return events.SubmitJob(share, self._context.runtime.queue(), spec, homed)
 
         known = self._context.shard_map()
         if forwarded or known is None:
@@ -73,11 +73,11 @@
 
     def _status_event(self, job_id: str) -> MakeEvent:
         return lambda *by: events.GetJobStatus(
-            by[0], self._context.routines.queue(), job_id, *by[1:]
+            by[0], self._context.runtime.queue(), job_id, *by[1:]
         )
 
     def _cancel_event(self, job_id: str) -> MakeEvent:
-        return lambda *by: events.CancelJob(by[0], self._context.routines.queue(), job_id, *by[1:])
+        return lambda *by: events.CancelJob(by[0], self._context.runtime.queue(), job_id, *by[1:])
 
     def _job(
         self, event: MakeEvent, job_id: str, request: Request, forwarded: bool, hold: bool
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -35,7 +35,7 @@
         self._context = context
         self._crowded = crowded
         self._heard = heard
-        self._relay = HeartbeatRelay(context.peer_clients, context.routines)
+        self._relay = HeartbeatRelay(context.peer_clients, context.runtime)
 
     def stop(self) -> None:
         self._relay.stop()
@@ -47,29 +47,29 @@
         if answer is not None:
             return self._close_when_crowded(Response(200, answer))
         # A malformed report is refused by every node alike.
-        report, tasks = workers.decode_heartbeat(body), bytes(glance.tasks)
+        heartbeat, tasks = workers.decode_heartbeat(body), bytes(glance.tasks)
         known = self._context.shard_map()
         if known is not None:
-            share = known.shard_of_machine(report.machine, report.type)
-            return self._close_when_crowded(self._heartbeat_to_shard(report, tasks, share))
+            share = known.shard_of_machine(heartbeat.machine, heartbeat.type)
+            return self._close_when_crowded(self._heartbeat_to_shard(heartbeat, tasks, share))
         election = self._context.first.election
         here = election.name
         away = election.current_relayed_fraction()
         relay = (
-            relay_assignment.relay_for(report.machine, away, election.relays()) if away else None
+            relay_assignment.relay_for(heartbeat.machine, away, election.relays()) if away else None
         )
         if not self._context.is_led_elsewhere(self._context.first):
             if relay is not None and relay != here:
-                return respond(421, workers.redirect(relay))
+                return respond(421, workers.redirect_body(relay))
             return self._context.ask(
-                events.HeartbeatReceived(0, self._context.routines.queue(), report, tasks)
+                events.HeartbeatReceived(0, self._context.runtime.queue(), heartbeat, tasks)
             )
         leader = election.current_leader()
         if relay == here and leader is not None and leader != here:
             status, answer = self._relay.forward(leader, body)
             return Response(status, answer)
         to = relay or leader
-        return respond(421, workers.redirect(None if to == here else to))
+        return respond(421, workers.redirect_body(None if to == here else to))
 
     def _unchanged_response(self, glance: workers.HeartbeatHeader) -> bytes | None:
         """The answer to a report that says nothing new, if it has come to the right node."""
@@ -77,7 +77,7 @@
         away = election.current_relayed_fraction() if self._context.shard_map() is None else 0.0
         if away and relay_assignment.relay_for(glance.machine, away, election.relays()):
             return None
-        now = self._context.routines.now()
+        now = self._context.runtime.now()
         for replica in [*self._context.replicas.values()]:
             answer = replica.unchanged_response(glance, now)
             if answer is not None:
@@ -90,35 +90,43 @@
             response.headers["Connection"] = "close"
         return response
 
-    def _heartbeat_to_shard(self, report: workers.Heartbeat, tasks: bytes, share: int) -> Response:
+    def _heartbeat_to_shard(
+        self, heartbeat: workers.Heartbeat, tasks: bytes, share: int
+    ) -> Response:
         """A machine reports to the holder of its share, and to nobody else."""
         replica = self._context.replicas.get(share)
         if replica is None or self._context.is_led_elsewhere(replica):
             # Perhaps it was handed on to a share that is held here.
             for number, other in [*self._context.replicas.items()]:
-                if other.has_machine(report.machine) and not self._context.is_led_elsewhere(other):
+                if other.has_machine(heartbeat.machine) and not self._context.is_led_elsewhere(
+                    other
+                ):
                     share, replica = number, other
                     break
-        response = self._heartbeat_to_leader(replica, share, report, tasks)
+        response = self._heartbeat_to_leader(replica, share, heartbeat, tasks)
         if response.status == 421 and (told := decode(response.body)).get("share") is not None:
             # It was handed on: its share's holder says where to.
             share = told["share"]
             response = self._heartbeat_to_leader(
-                self._context.replicas.get(share), share, report, tasks
+                self._context.replicas.get(share), share, heartbeat, tasks
             )
         return response
 
     def _heartbeat_to_leader(
-        self, replica: ShardReplicaView | None, share: int, report: workers.Heartbeat, tasks: bytes
+        self,
+        replica: ShardReplicaView | None,
+        share: int,
+        heartbeat: workers.Heartbeat,
+        tasks: bytes,
     ) -> Response:
         if replica is None:
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
             return self._context.ask(
-                events.HeartbeatReceived(share, self._context.routines.queue(), report, tasks)
+                events.HeartbeatReceived(share, self._context.runtime.queue(), heartbeat, tasks)
             )
         holder, here = replica.election.current_leader(), replica.election.name
-        return respond(421, workers.redirect(None if holder == here else holder))
+        return respond(421, workers.redirect_body(None if holder == here else holder))
 
     def relayed_heartbeats(self, body: bytes) -> Response:
         """What a relay has gathered: each report is answered as if it had come here."""
@@ -128,33 +136,33 @@
             return respond(error.status, users.error_body(error.reason))
         waiting: list[tuple[Response | None, Any]] = []
         for raw in batch.heartbeats:
-            slot = self._context.routines.queue()
+            reply_to = self._context.runtime.queue()
             if (
                 self._context.is_led_elsewhere(self._context.first)
                 or self._context.load() > MAX_LOAD[events.HeartbeatReceived]
             ):
-                waiting.append((unavailable(), slot))
+                waiting.append((unavailable(), reply_to))
                 continue
             try:
                 glance = workers.decode_heartbeat_header(bytes(raw))
-                answer = self._context.first.unchanged_response(
-                    glance, self._context.routines.now()
-                )
+                answer = self._context.first.unchanged_response(glance, self._context.runtime.now())
                 if answer is not None:
-                    waiting.append((Response(200, answer), slot))
+                    waiting.append((Response(200, answer), reply_to))
                     continue
-                report = workers.decode_heartbeat(bytes(raw))
-                self._context.post(events.HeartbeatReceived(0, slot, report, bytes(glance.tasks)))
-                waiting.append((None, slot))
+                heartbeat = workers.decode_heartbeat(bytes(raw))
+                self._context.post(
+                    events.HeartbeatReceived(0, reply_to, heartbeat, bytes(glance.tasks))
+                )
+                waiting.append((None, reply_to))
             except ProtocolError as error:
-                waiting.append((respond(error.status, users.error_body(error.reason)), slot))
-        until = self._context.routines.now() + RELAYED_S
+                waiting.append((respond(error.status, users.error_body(error.reason)), reply_to))
+        until = self._context.runtime.now() + RELAYED_S
         answers = []
-        for response, slot in waiting:
+        for response, reply_to in waiting:
             if response is None:
                 try:
-                    left = max(0.0, until - self._context.routines.now())
-                    status, told, _ = slot.get(timeout=left)
+                    left = max(0.0, until - self._context.runtime.now())
+                    status, told, _ = reply_to.get(timeout=left)
                     response = respond(status, told)
                 except queue.Empty:
                     response = unavailable()
--- a/appleshift/connectivity/hand_over.py
+++ b/appleshift/connectivity/hand_over.py
@@ -36,7 +36,7 @@
         leads: Callable[[], bool],
         give_up: Callable[[], None],
         siblings: dict[str, HttpCaller],
-        routines: Runtime,
+        runtime: Runtime,
     ) -> None:
         """``asks``: does that worker answer? ``state_answers``: did the state service, when
         it was asked last? ``give_up``: hand over what this node holds, in order."""
@@ -47,13 +47,13 @@
         self._is_leader = leads
         self._hand_over = give_up
         self._peer_clients = siblings
-        self._routines = routines
-        self._stop = routines.event()
+        self._runtime = runtime
+        self._stop = runtime.event()
         self._workers_lost = False
 
     def start(self) -> None:
         for number in range(PROBE_TASKS):
-            self._routines.spawn(f"reach-{number}", self._run, number)
+            self._runtime.spawn(f"reach-{number}", self._run, number)
 
     def stop(self) -> None:
         self._stop.set()
@@ -62,7 +62,7 @@
 
     def heartbeat_received(self) -> None:
         """A worker's report came to this node's own door."""
-        self.worker_contacts.heartbeat_received(self._routines.now())
+        self.worker_contacts.heartbeat_received(self._runtime.now())
 
     def own_connectivity(self, now: float) -> peers.PeerConnectivity:
         seen = self.worker_contacts.summary(now)
@@ -72,15 +72,15 @@
             self._store_answers(),
         )
 
-    def peer_status_received(self, sibling: str, hello: peers.PeerStatus, now: float) -> None:
+    def peer_status_received(self, peer: str, hello: peers.PeerStatus, now: float) -> None:
         sees = hello.connectivity
         if sees is None:
             # Of an older version, which does not say.
-            self._peers.forget(sibling)
+            self._peers.forget(peer)
         else:
             age = None if sees.worker_contact_age_s < 0.0 else sees.worker_contact_age_s
             self._peers.update(
-                sibling,
+                peer,
                 PeerReport(now, ContactSummary(age, sees.uninterrupted_s), sees.store_answers),
             )
         if hello.entitled and not self._is_leader():
@@ -90,14 +90,14 @@
                 # A leader that no worker reaches names those that once did.
                 self.worker_contacts.forget()
 
-    def peer_restarted(self, sibling: str) -> None:
-        self._peers.forget(sibling)
+    def peer_restarted(self, peer: str) -> None:
+        self._peers.forget(peer)
 
     # -- asking ------------------------------------------------------------------------
 
     def _run(self, number: int) -> None:
         while not self._stop.is_set():
-            now = self._routines.now()
+            now = self._runtime.now()
             # Without trouble one of them is enough; a leader hears reports all the time.
             if not number or self._is_leader() or self.worker_contacts.is_suspect():
                 address = self.worker_contacts.next_to_probe(now)
@@ -105,12 +105,12 @@
                     self._probe(address)
             if not number:
                 self._check_hand_over()
-            self._stop.wait(self.worker_contacts.pause_s(self._routines.now()))
+            self._stop.wait(self.worker_contacts.pause_s(self._runtime.now()))
 
     def _probe(self, address: str) -> bool:
-        sent = self._routines.now()
+        sent = self._runtime.now()
         answered = self._probe_worker(address)
-        self.worker_contacts.probed(address, sent, self._routines.now(), answered)
+        self.worker_contacts.probed(address, sent, self._runtime.now(), answered)
         return answered
 
     # -- what follows --------------------------------------------------------------------
@@ -123,7 +123,7 @@
         if not (lost and self._is_leader()):
             return
         for name in self._peers.reaching_workers(
-            self._routines.now(), self.worker_contacts.unanswered_since
+            self._runtime.now(), self.worker_contacts.unanswered_since
         ):
             if self._peer_confirms(name) and self.worker_contacts.is_lost():
                 log.info("handing over: workers reach %s, not this node", name)
@@ -152,14 +152,14 @@
         Asked by the election's routine before each try: without trouble it had a contact
         a moment ago, or a worker answers within milliseconds.
         """
-        now = self._routines.now()
+        now = self._runtime.now()
         sight = self.worker_contacts
         address = sight.next_in_sample()
         if address is None or sight.had_contact_within(now, ELECTION_CONTACT_S):
             return 0.0
         if not sight.is_lost() and self._probe(address):
             return 0.0
-        now = self._routines.now()
+        now = self._runtime.now()
         return (
             CUT_OFF_DELAY_S
             if self._peers.reaching_workers(now, sight.unanswered_since)
--- a/appleshift/connectivity/peers.py
+++ b/appleshift/connectivity/peers.py
@@ -41,12 +41,12 @@
     def __init__(self) -> None:
         self._reports: dict[str, PeerReport] = {}
 
-    def update(self, sibling: str, word: PeerReport) -> None:
-        self._reports[sibling] = word
+    def update(self, peer: str, word: PeerReport) -> None:
+        self._reports[peer] = word
 
-    def forget(self, sibling: str) -> None:
+    def forget(self, peer: str) -> None:
         """It is another process now, and has not said anything yet."""
-        self._reports.pop(sibling, None)
+        self._reports.pop(peer, None)
 
     def reaching_workers(self, now: float, since: float) -> list[str]:
         """Siblings that reached workers after ``since``, and the state service.
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -49,7 +49,7 @@
     operator: OperatorSettings
     lease: LeaseHolder
     cluster: ClusterState
-    log: WriteAheadLog
+    write_ahead_log: WriteAheadLog
     actions: deque[Action]
     objectives: Objectives
     counted_resources: CountedResources | None
@@ -68,7 +68,7 @@
     @property
     def liveness(self) -> CommandResultListener: ...
 
-    def reconcile(self, machine: Machine, report: Heartbeat) -> None: ...
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None: ...
 
     def fencing_token_for(self, machine: Machine) -> int: ...
 
@@ -89,7 +89,7 @@
     shard_count: int
     """How many there are."""
 
-    def attach(self, core: Any) -> None:
+    def attach(self, scheduler: Any) -> None:
         """From now on this is the core of the share."""
         ...
 
@@ -113,11 +113,11 @@
         """Send part of a large array away; what has to be written down for it."""
         ...
 
-    def cancel_partitioned(self, job: Any, slot: Any) -> None:
+    def cancel_partitioned(self, job: Any, reply_to: Any) -> None:
         """Cancel a job of which other shares run a part, then answer."""
         ...
 
-    def request_received(self, message: Any, slot: Any) -> None:
+    def request_received(self, message: Any, reply_to: Any) -> None:
         """The holder of another share asks or tells something."""
         ...
 
@@ -175,7 +175,7 @@
 class FleetView(Protocol):
     """The fleet, as what looks at it and rents for it sees it."""
 
-    core: SchedulerView
+    scheduler: SchedulerView
     cluster: ClusterState
     operator: OperatorSettings
     shortages: list[Shortage]
--- a/appleshift/counted_resources/audit_log.py
+++ b/appleshift/counted_resources/audit_log.py
@@ -19,7 +19,7 @@
 TASKS_AN_ENTRY = 100
 
 _FIELDS = Submission.__struct_fields__
-_SEATS, _ID = _FIELDS.index("seats"), _FIELDS.index("id")
+_SEATS, _ID = _FIELDS.index("counted_resources"), _FIELDS.index("id")
 
 Entry = list[Any]
 """Number, time (seconds since the epoch), kind, what it is about: of a grant or
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from appleshift.counted_resources.license_reservation import LicenseReservation
-from appleshift.protocol.counted_resources import SeatDefinition, asked
+from appleshift.protocol.counted_resources import CountedResourceDefinition, requested_counts
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
 from appleshift.state.cluster_state import ClusterState, Job, TaskRun
@@ -33,7 +33,7 @@
     def __init__(
         self,
         name: str,
-        definition: SeatDefinition | None,
+        definition: CountedResourceDefinition | None,
         cluster: ClusterState,
         account: LicenseReservation | None,
     ) -> None:
@@ -105,7 +105,9 @@
         self.ready: dict[int, float] = {}
         self.promises: dict[int, Commitment] = {}
 
-    def define(self, definition: SeatDefinition, account: LicenseReservation | None) -> None:
+    def define(
+        self, definition: CountedResourceDefinition, account: LicenseReservation | None
+    ) -> None:
         number = self.names.add(definition.name)
         assert number == len(self.resources), "defined once a term, before jobs are read"
         self.resources.append(CountedResource(definition.name, definition, self.cluster, account))
@@ -114,7 +116,7 @@
 
     def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         try:
-            wanted = asked(spec.seats)
+            wanted = requested_counts(spec.counted_resources)
         except ProtocolError:
             # Accepted while nothing was counted, so it was never read.
             return ()
@@ -162,7 +164,7 @@
 
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
         try:
-            wanted = asked(spec.seats)
+            wanted = requested_counts(spec.counted_resources)
         except ProtocolError as error:
             return error.status, error.reason
         team = self.cluster.team_names.get(spec.team)
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -27,7 +27,7 @@
         self,
         post: Callable[[events.Event], None],
         connect: Callable[[tuple[str, int]], HttpCaller],
-        routines: Runtime,
+        runtime: Runtime,
         entitled: Callable[[], bool],
     ) -> None:
         self._post = post
@@ -36,7 +36,7 @@
         # meanwhile may not lead any more. The server ignores its serial then,
         # but a heartbeat that never leaves can confuse nobody.
         self._entitled = entitled
-        self._pool = ThreadPool(routines, "licence-call", CALLS)
+        self._pool = ThreadPool(runtime, "licence-call", CALLS)
         self._clients: dict[str, HttpCaller] = {}
 
     def send(self, ask: PendingReservationRequest, term: Any) -> None:
@@ -46,14 +46,14 @@
         self._pool.submit(self._send, client, ask, term)
 
     def _send(self, client: HttpCaller, ask: PendingReservationRequest, term: Any) -> None:
-        standing: license_server.Standing | None = None
+        standing: license_server.ReservationReply | None = None
         try:
             if self._entitled():
-                path = license_server.heartbeat_path(ask.resource)
-                body = license_server.encode_heartbeat(ask.heartbeat)
+                path = license_server.reservation_path(ask.resource)
+                body = license_server.encode_reservation_request(ask.heartbeat)
                 status, answer = client.request("POST", path, body, ANSWER_S)
                 if status == 200:
-                    standing = license_server.decode_standing(answer)
+                    standing = license_server.decode_reservation_reply(answer)
                 else:
                     log.info("licence server of %s: status %d", ask.resource, status)
         except (ClientError, ProtocolError) as error:
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -21,8 +21,13 @@
 
 import msgspec
 
-from appleshift.protocol.counted_resources import TRUST, LicenceServer
-from appleshift.protocol.license_server import ACCOUNT, MAX_RETURNS, Heartbeat, Standing
+from appleshift.protocol.counted_resources import TRUST, LicenseServer
+from appleshift.protocol.license_server import (
+    ACCOUNT,
+    MAX_RETURNS,
+    ReservationReply,
+    ReservationRequest,
+)
 
 log = logging.getLogger(__name__)
 
@@ -40,21 +45,21 @@
 
     resource: str
     address: str
-    heartbeat: Heartbeat
+    heartbeat: ReservationRequest
 
 
 class LicenseReservation:
     """One resource's reservation, for one term."""
 
-    def __init__(self, resource: str, server: LicenceServer, token: int) -> None:
+    def __init__(self, resource: str, server: LicenseServer, token: int) -> None:
         self.resource = resource
         self.server = server
-        self.standing: Standing | None = None
+        self.standing: ReservationReply | None = None
         self.sent_at = float("-inf")
         """When the heartbeat was sent that the server last answered."""
         self.refused: str | None = None
         self._serial = token << SERIAL_BITS
-        self._asking: Heartbeat | None = None
+        self._asking: ReservationRequest | None = None
         self._asked_at = float("-inf")
         self._first_asked: float | None = None
         # The least that heartbeats reserved of which the outcome is not known:
@@ -135,10 +140,10 @@
         reserve = max(want, sum(self._holders.values()) + self._pending)
         settled = self._unsettled
         self._unsettled = reserve if settled is None else min(settled, reserve)
-        self._asking = Heartbeat(ACCOUNT, self._serial, reserve, returned)
+        self._asking = ReservationRequest(ACCOUNT, self._serial, reserve, returned)
         return PendingReservationRequest(self.resource, self.server.address, self._asking)
 
-    def reply_received(self, serial: int, standing: Standing | None, now: float) -> bool:
+    def reply_received(self, serial: int, standing: ReservationReply | None, now: float) -> bool:
         """The server's answer to a heartbeat, or None; true if it may free seats."""
         asked = self._asking
         if asked is None or asked.serial != serial:
@@ -173,7 +178,7 @@
         return True
 
     @staticmethod
-    def _wrong(asked: Heartbeat, standing: Standing) -> str | None:
+    def _wrong(asked: ReservationRequest, standing: ReservationReply) -> str | None:
         """What no working server can answer."""
         if standing.reserved + standing.others > standing.total and standing.reserved > max(
             asked.reserve, sum(entry.count for entry in standing.holders)
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -17,8 +17,13 @@
     LicenseReservation,
     PendingReservationRequest,
 )
-from appleshift.protocol.counted_resources import SeatDefinition, SeatRules, from_record, to_record
-from appleshift.protocol.license_server import Standing
+from appleshift.protocol.counted_resources import (
+    CountedResourceDefinition,
+    CountedResourceRules,
+    from_record,
+    to_record,
+)
+from appleshift.protocol.license_server import ReservationReply
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.wire import MAX_BODY, json_size
 from appleshift.state.cluster_state import OPEN, Job
@@ -39,37 +44,37 @@
 
     def __init__(
         self,
-        definitions: Iterable[SeatDefinition],
-        rules: SeatRules,
-        replay: LogReplayer,
-        journal: WriteAheadLog,
+        definitions: Iterable[CountedResourceDefinition],
+        rules: CountedResourceRules,
+        replayer: LogReplayer,
+        write_ahead_log: WriteAheadLog,
         token: int,
         wall: float,
     ) -> None:
-        super().__init__(replay.cluster)
+        super().__init__(replayer.cluster)
         self.rules = rules
-        self._journal = journal
-        self.audit_log = _trail_of(replay, journal)
-        journal.on_record_durable = self.audit_log.apply
+        self._write_ahead_log = write_ahead_log
+        self.audit_log = _trail_of(replayer, write_ahead_log)
+        write_ahead_log.on_record_durable = self.audit_log.apply
         self._next_look = 0.0
         for definition in definitions:
             server = definition.server
             account = None if server is None else LicenseReservation(definition.name, server, token)
             self.define(definition, account)
-            if replay.counted_resources.get(definition.name) != to_record(definition):
+            if replayer.counted_resources.get(definition.name) != to_record(definition):
                 record = records.counted_resource_record(
                     definition.name, to_record(definition), wall
                 )
-                journal.append(record)
-        for name in replay.counted_resources.keys() - set(self.names.names):
+                write_ahead_log.append(record)
+        for name in replayer.counted_resources.keys() - set(self.names.names):
             log.info("resource %s is no longer counted", name)
-            journal.append(records.counted_resource_record(name, None, wall))
+            write_ahead_log.append(records.counted_resource_record(name, None, wall))
 
     def begin_recovery(self) -> None:
         """Before assignments are recovered: from now on each of them counts."""
         self.cluster.counted_resources = self
         for job in self.cluster.jobs.values():
-            if job.spec.seats is not None:
+            if job.spec.counted_resources is not None:
                 job.counted_needs = self.needs_of(job.spec)
 
     def end_recovery(self) -> None:
@@ -121,7 +126,7 @@
         return wanted
 
     def license_server_answered(
-        self, name: str, serial: int, standing: Standing | None, now: float
+        self, name: str, serial: int, standing: ReservationReply | None, now: float
     ) -> bool:
         """A licence server's answer, or that there was none; true: look again."""
         number = self.names.get(name)
@@ -139,7 +144,7 @@
         ]
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
-        self.audit_log.saved(self._journal.header.audit_pages[2])
+        self.audit_log.saved(self._write_ahead_log.header.audit_pages[2])
         return list(self.audit_log.tail)
 
     @property
@@ -162,7 +167,7 @@
     def history(self, after: int) -> dict[str, Any]:
         """The audit's entries above a number that no page holds yet, as many as an
         answer takes, and which pages hold what came before."""
-        first, following, written = self._journal.header.audit_pages
+        first, following, written = self._write_ahead_log.header.audit_pages
         self.audit_log.saved(written)
         entries: list[list[Any]] = []
         size = 0
@@ -177,23 +182,23 @@
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
-def _trail_of(replay: LogReplayer, journal: WriteAheadLog) -> AuditLog:
+def _trail_of(replayer: LogReplayer, write_ahead_log: WriteAheadLog) -> AuditLog:
     """The trail that followed the log, or a new one where nothing was counted yet."""
-    if isinstance(replay.audit_log, AuditLog):
-        return replay.audit_log
-    trail = AuditLog(journal.header.audit_pages[2])
-    for job in replay.cluster.jobs.values():
-        if job.spec.seats is not None:
+    if isinstance(replayer.audit_log, AuditLog):
+        return replayer.audit_log
+    trail = AuditLog(write_ahead_log.header.audit_pages[2])
+    for job in replayer.cluster.jobs.values():
+        if job.spec.counted_resources is not None:
             trail.apply(records.job_record(job))
-    for (index, task), (attempt, machine, session) in replay.task_locations.items():
-        trail.apply([records.ASSIGN, index, attempt, machine, session, [task, task]])
+    for (index, task), (attempt, machine, agent_epoch) in replayer.task_locations.items():
+        trail.apply([records.ASSIGN, index, attempt, machine, agent_epoch, [task, task]])
     return trail
 
 
 def build(
     operator: OperatorSettings,
-    replay: LogReplayer,
-    journal: WriteAheadLog,
+    replayer: LogReplayer,
+    write_ahead_log: WriteAheadLog,
     token: int,
     wall: float,
 ) -> CountedResourceScheduler | None:
@@ -202,20 +207,20 @@
     A file decides, where it says anything; else what the log has in force, so
     that a node without the file does not hand out what others count.
     """
-    rules = operator.seat_rules or SeatRules()
+    rules = operator.seat_rules or CountedResourceRules()
     definitions = list(operator.seats)
     if not definitions and not rules.off:
-        definitions = [from_record(record) for record in replay.counted_resources.values()]
+        definitions = [from_record(record) for record in replayer.counted_resources.values()]
         if definitions:
             log.info("counting %d resources as the log has them", len(definitions))
     if rules.off:
         definitions = []
-    if not definitions and not replay.counted_resources:
+    if not definitions and not replayer.counted_resources:
         return None
     for definition in definitions:
         for team in definition.teams:
-            if replay.cluster.team_names.get(team.name) < 0:
+            if replayer.cluster.team_names.get(team.name) < 0:
                 log.error("resource %s: no such team: %s", definition.name, team.name)
-    part = CountedResourceScheduler(definitions, rules, replay, journal, token, wall)
+    part = CountedResourceScheduler(definitions, rules, replayer, write_ahead_log, token, wall)
     # Without definitions it has written down that nothing is counted any more.
     return part if definitions else None
--- a/appleshift/dispatch/outbound_calls.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -31,21 +31,21 @@
     """Direct commands and probes, on a bounded set of routines."""
 
     def __init__(
-        self, post: Post, connect: Connect, routines: Runtime, size: int, most: int
+        self, post: Post, connect: Connect, runtime: Runtime, size: int, most: int
     ) -> None:
         self._post = post
         self._connect = connect
         self._most = most
-        self._pool = ThreadPool(routines, "worker-call", size)
+        self._pool = ThreadPool(runtime, "worker-call", size)
         # The most recently used last; sockets are limited.
         self._clients: OrderedDict[str, HttpCaller] = OrderedDict()
         self._lock = threading.Lock()
 
-    def send_commands(self, effect: SendCommands, term: Any) -> None:
-        self._pool.submit(self._send_commands, effect, term)
+    def send_commands(self, action: SendCommands, term: Any) -> None:
+        self._pool.submit(self._send_commands, action, term)
 
-    def probe(self, effect: ProbeMachine, term: Any) -> None:
-        self._pool.submit(self._probe, effect, term)
+    def probe(self, action: ProbeMachine, term: Any) -> None:
+        self._pool.submit(self._probe, action, term)
 
     def _client(self, addr: str) -> HttpCaller:
         with self._lock:
@@ -66,12 +66,16 @@
         except (ClientError, ValueError):
             return False
 
-    def _send_commands(self, effect: SendCommands, term: Any) -> None:
+    def _send_commands(self, action: SendCommands, term: Any) -> None:
         outcome = "unknown"
-        report: Heartbeat | None = None
+        heartbeat: Heartbeat | None = None
         try:
-            body = encode(workers.direct(effect.fencing_token, effect.agent_epoch, effect.commands))
-            status, answer = self._client(effect.addr).request(
+            body = encode(
+                workers.direct_command_body(
+                    action.fencing_token, action.agent_epoch, action.commands
+                )
+            )
+            status, answer = self._client(action.addr).request(
                 "POST", "/do", body, COMMAND_TIMEOUT_S
             )
             if status == 200:
@@ -79,25 +83,25 @@
             elif status in (400, 409):
                 outcome = "refused"
             if status in (200, 409):
-                report = decode_heartbeat(answer)
+                heartbeat = decode_heartbeat(answer)
         except (ClientError, ProtocolError, ValueError) as error:
-            log.debug("command to %s: %s", effect.machine, error)
+            log.debug("command to %s: %s", action.machine, error)
         self._post(
             events.CommandsSent(
-                term, effect.machine, effect.agent_epoch, effect.starts, outcome, report
+                term, action.machine, action.agent_epoch, action.starts, outcome, heartbeat
             )
         )
 
-    def _probe(self, effect: ProbeMachine, term: Any) -> None:
-        report: Heartbeat | None = None
+    def _probe(self, action: ProbeMachine, term: Any) -> None:
+        heartbeat: Heartbeat | None = None
         try:
-            client = self._client(effect.addr)
+            client = self._client(action.addr)
             status, answer = client.request("GET", "/inspect", None, PROBE_TIMEOUT_S)
             if status == 200:
-                report = decode_heartbeat(answer)
+                heartbeat = decode_heartbeat(answer)
         except (ClientError, ProtocolError, ValueError) as error:
-            log.debug("probe of %s: %s", effect.machine, error)
-        self._post(events.ProbeAnswered(term, effect.machine, report))
+            log.debug("probe of %s: %s", action.machine, error)
+        self._post(events.ProbeAnswered(term, action.machine, heartbeat))
 
     def stop(self) -> None:
         self._pool.stop()
@@ -110,25 +114,25 @@
         self,
         post: Post,
         client: HttpCaller,
-        routines: Runtime,
+        runtime: Runtime,
         rps: float,
         list_lag_s: float,
     ) -> None:
         self._post = post
         self._client = client
-        self._routines = routines
-        self._budget = RateLimiter(routines, max(1.0, rps * 0.9))
-        self._pool = ThreadPool(routines, "cloud-call", 3)
+        self._runtime = runtime
+        self._budget = RateLimiter(runtime, max(1.0, rps * 0.9))
+        self._pool = ThreadPool(runtime, "cloud-call", 3)
         # A list may not take more than a quarter of the calls, page by page, and
         # asking much more often than it changes shows nothing new.
         self._page_gap_s = 4.0 / rps
         self._list_gap_s = max(1.0, list_lag_s / 3)
-        self._stop = routines.event()
-        self._wake = routines.event()
+        self._stop = runtime.event()
+        self._wake = runtime.event()
         self._term: Any = None
 
     def start(self) -> None:
-        self._routines.spawn("cloud-list", self._poll)
+        self._runtime.spawn("cloud-list", self._poll)
 
     def set_term(self, term: Any) -> None:
         """Look at the cloud for this term; None: no longer leading."""
@@ -140,13 +144,13 @@
         self._wake.set()
         self._pool.stop()
 
-    def rent(self, effect: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
         """``entitled`` is asked again right before a call that changes something:
         it may have waited for the budget until the term was over."""
-        self._pool.submit(self._rent, effect, term, entitled)
+        self._pool.submit(self._rent, action, term, entitled)
 
-    def delete(self, effect: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
-        self._pool.submit(self._delete, effect, term, entitled)
+    def delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+        self._pool.submit(self._delete, action, term, entitled)
 
     def machine_types(self) -> list[cloud.MachineType]:
         """What can be rented, asked for right now; ClientError or ProtocolError without."""
@@ -159,11 +163,11 @@
         self._budget.acquire()
         return self._client.request("GET", path, None, 3.0)
 
-    def _rent(self, effect: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
         names: list[str] | None = None
         refused = False
         body = encode(
-            cloud.rent_body(effect.request, effect.type, effect.zone, effect.spot, effect.count)
+            cloud.rent_body(action.request, action.type, action.zone, action.spot, action.count)
         )
         for attempt in range(RENTAL_ATTEMPTS):
             if self._stop.wait(0.5 * attempt) or not entitled():
@@ -180,24 +184,24 @@
                     refused = True
                     break
                 if status == 400:
-                    log.error("the cloud calls a rental malformed: %s", effect)
+                    log.error("the cloud calls a rental malformed: %s", action)
                     refused = True
                     break
             except (ClientError, ProtocolError) as error:
                 log.info("rental: %s", error)
-        self._post(events.RentalAnswered(term, effect.request, names, refused))
+        self._post(events.RentalAnswered(term, action.request, names, refused))
 
-    def _delete(self, effect: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
         ok = False
         try:
             self._budget.acquire()
             if entitled():
-                body = encode(cloud.delete_body([*effect.machines]))
+                body = encode(cloud.delete_body([*action.machines]))
                 status, _ = self._client.request("POST", "/machines/delete", body, 3.0)
                 ok = status == 200
         except ClientError as error:
             log.info("deletion: %s", error)
-        self._post(events.DeletionAnswered(term, effect.machines, ok))
+        self._post(events.DeletionAnswered(term, action.machines, ok))
 
     def _poll(self) -> None:
         types_at = -1e9
@@ -212,11 +216,11 @@
                 seen, types_at = term, -1e9
             pages = 1
             try:
-                if self._routines.now() - types_at > 20.0:
+                if self._runtime.now() - types_at > 20.0:
                     status, body = self._get("/machine_types")
                     if status == 200:
                         self._post(events.MachineTypesListed(term, cloud.decode_types(body)))
-                        types_at = self._routines.now()
+                        types_at = self._runtime.now()
                 pages = self._list(term)
             except (ClientError, ProtocolError) as error:
                 log.info("cloud: %s", error)
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -23,8 +23,8 @@
 class WorkerCommands:
     """Part of the core: the machines that have something to be told."""
 
-    def __init__(self, core: SchedulerView) -> None:
-        self._scheduler = core
+    def __init__(self, scheduler: SchedulerView) -> None:
+        self._scheduler = scheduler
         self._due_machines: set[int] = set()
 
     def __len__(self) -> int:
@@ -113,10 +113,10 @@
     def commands_sent(
         self,
         name: str,
-        session: int,
+        agent_epoch: int,
         starts: tuple[tuple[str, int], ...],
         outcome: str,
-        report: Heartbeat | None,
+        heartbeat: Heartbeat | None,
     ) -> None:
         """What became of a direct command: ``done``, ``refused`` or ``unknown``."""
         machine = self._scheduler.cluster.machine(name)
@@ -125,14 +125,14 @@
         machine.commands_in_flight = False
         for key in starts:
             run = machine.runs.get(key)
-            if run is not None and run.agent_epoch == session:
+            if run is not None and run.agent_epoch == agent_epoch:
                 run.unconfirmed_starts -= outcome != "unknown"
         if (
-            report is not None
-            and report.machine == name
-            and report.agent_epoch >= machine.agent_epoch
+            heartbeat is not None
+            and heartbeat.machine == name
+            and heartbeat.agent_epoch >= machine.agent_epoch
         ):
-            self._scheduler.reconcile(machine, report)
+            self._scheduler.reconcile(machine, heartbeat)
         # As good as an unanswered probe, or an answered one.
         self._scheduler.liveness.command_result(machine, outcome != "unknown")
         if outcome != "done":
--- a/appleshift/heartbeat_ingest/fast_path.py
+++ b/appleshift/heartbeat_ingest/fast_path.py
@@ -56,23 +56,23 @@
         cell.expected = known
         return cell
 
-    def response_to(self, report: HeartbeatHeader, now: float) -> bytes | None:
+    def response_to(self, heartbeat: HeartbeatHeader, now: float) -> bytes | None:
         """The answer, if the report says nothing new; None: the core must see it.
 
         ``now`` was read before the caller made sure that it is entitled.
         """
-        cell = self.entries.get(report.machine)
+        cell = self.entries.get(heartbeat.machine)
         known = None if cell is None else cell.expected
-        if cell is None or known is None or report.reclaim_in_s is not None:
+        if cell is None or known is None or heartbeat.reclaim_in_s is not None:
             return None
-        session, token, tasks, answer = known
-        if report.agent_epoch != session or report.fencing_token != token:
+        agent_epoch, token, tasks, answer = known
+        if heartbeat.agent_epoch != agent_epoch or heartbeat.fencing_token != token:
             return None
-        number = (report.agent_epoch, report.seq)
+        number = (heartbeat.agent_epoch, heartbeat.seq)
         last = max(cell.last_processed[0], cell.last_answered[0])
         if (
             number <= max(cell.last_answered[1:3], cell.last_processed[1:])
-            or bytes(report.tasks) != tasks
+            or bytes(heartbeat.tasks) != tasks
         ):
             return None
         cell.last_answered = (now, *number, now - last < HEARTBEAT_TIMEOUT_S)
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -39,32 +39,32 @@
 
 
 class _PendingHeartbeat:
-    __slots__ = ("body", "leader", "slot")
+    __slots__ = ("body", "leader", "reply_to")
 
-    def __init__(self, leader: str, body: bytes, slot: Any) -> None:
-        self.leader, self.body, self.slot = leader, body, slot
+    def __init__(self, leader: str, body: bytes, reply_to: Any) -> None:
+        self.leader, self.body, self.reply_to = leader, body, reply_to
 
 
 class HeartbeatRelay:
     """One for each node; its routines start with the first report."""
 
-    def __init__(self, siblings: dict[str, HttpCaller], routines: Runtime) -> None:
+    def __init__(self, siblings: dict[str, HttpCaller], runtime: Runtime) -> None:
         self._peer_clients = siblings
-        self._routines = routines
-        self._pool = ThreadPool(routines, "relay", CONCURRENT_CALLS)
+        self._runtime = runtime
+        self._pool = ThreadPool(runtime, "relay", CONCURRENT_CALLS)
         self._lock = threading.Lock()
         self._waiting: deque[_PendingHeartbeat] = deque()
 
     def forward(self, leader: str, body: bytes) -> Answer:
         """The leader's answer to a report; 503 without one in time."""
-        entry = _PendingHeartbeat(leader, body, self._routines.queue())
+        entry = _PendingHeartbeat(leader, body, self._runtime.queue())
         with self._lock:
             first = not self._waiting
             self._waiting.append(entry)
         if first:
             self._pool.submit(self._send)
         try:
-            answer: Answer = entry.slot.get(timeout=RESPONSE_TIMEOUT_S + 2 * BATCH_WINDOW_S)
+            answer: Answer = entry.reply_to.get(timeout=RESPONSE_TIMEOUT_S + 2 * BATCH_WINDOW_S)
         except queue.Empty:
             return NO_ANSWER
         return answer
@@ -86,7 +86,7 @@
         return taken
 
     def _send(self) -> None:
-        self._routines.sleep(BATCH_WINDOW_S)
+        self._runtime.sleep(BATCH_WINDOW_S)
         batch = self._next_batch()
         if not batch:
             return
@@ -105,7 +105,7 @@
         if len(answers) != len(batch):
             answers = [NO_ANSWER] * len(batch)
         for entry, answer in zip(batch, answers, strict=True):
-            entry.slot.put(answer)
+            entry.reply_to.put(answer)
 
     def stop(self) -> None:
         self._pool.stop()
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -72,7 +72,7 @@
         on_won: Callable[[LeaderTerm], None],
         on_lost: Callable[[], None],
         process_mark: str,
-        routines: Runtime,
+        runtime: Runtime,
         shard: int = 0,
         extra_guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
         candidacy_delay_s: Callable[[], float] = float,
@@ -104,24 +104,24 @@
         self._relays_seen_at: dict[str, float] = {}
         self._last_relayed_fraction = (float("-inf"), 0.0)
         self.relayed_fraction = 0.0
-        self._handing_over = routines.event()
-        self._candidate_after = routines.now()
-        self._leader_since = routines.now()
+        self._handing_over = runtime.event()
+        self._candidate_after = runtime.now()
+        self._leader_since = runtime.now()
         self._leader_token = 0
         self._attempt = 0
         self._lease_id = 0
         self._unresolved_lease_id: int | None = None
-        self._routines = routines
-        self._now = routines.now
-        self._renewal_failing = routines.event()
-        self._stop = routines.event()
-        self._fenced = routines.event()
+        self._runtime = runtime
+        self._now = runtime.now
+        self._renewal_failing = runtime.event()
+        self._stop = runtime.event()
+        self._fenced = runtime.event()
 
     def start(self) -> None:
         suffix = f"-{self.shard}" if self.shard else ""
-        self._routines.spawn(f"election{suffix}", self._run)
-        for sibling in self.peer_clients:
-            self._routines.spawn(f"pledge-{sibling}{suffix}", self._collect_votes, sibling)
+        self._runtime.spawn(f"election{suffix}", self._run)
+        for peer in self.peer_clients:
+            self._runtime.spawn(f"pledge-{peer}{suffix}", self._collect_votes, peer)
 
     def stop(self) -> None:
         """Give up leadership at once, so that another node need not wait."""
@@ -284,7 +284,7 @@
         changes = self.store.watch(self.key, page.revision, WATCH_TIMEOUT_S)
         if changes is None:
             self._stop.wait(0.1)
-        elif any(change.get("remove") for change in changes.news):
+        elif any(change.get("remove") for change in changes.changes):
             self.leader = None
 
     def _release_own_stale_key(self) -> None:
@@ -401,30 +401,30 @@
 
     # -- one routine for each sibling ------------------------------------------------
 
-    def peer_restarted(self, sibling: str, ended: str) -> None:
+    def peer_restarted(self, peer: str, ended: str) -> None:
         """A sibling's process is another one: what the one before said of itself is over."""
         self.lease.process_ended(ended)
-        self._peer_claims.pop(sibling, None)
-        self._relays_seen_at.pop(sibling, None)
+        self._peer_claims.pop(peer, None)
+        self._relays_seen_at.pop(peer, None)
 
     def peer_status_received(
-        self, sibling: str, hello: peers.PeerStatus, held: peers.HeldShard | None
+        self, peer: str, hello: peers.PeerStatus, held: peers.HeldShard | None
     ) -> None:
         """A sibling says what it holds, of this share (None: it does not)."""
         now = self._now()
-        self.lease.peer_heard(sibling, hello.process_id, now)
-        self._peer_claims[sibling] = (
+        self.lease.peer_heard(peer, hello.process_id, now)
+        self._peer_claims[peer] = (
             now,
             held is not None and held.entitled,
             0 if held is None else held.fencing_token,
         )
         if held is None:
-            self.lease.peer_does_not_lead(sibling)
+            self.lease.peer_does_not_lead(peer)
         elif self.lease.is_leader and held.fencing_token > self.lease.fencing_token:
             # It could only be elected once our key was gone. Cut off from the state
             # service, a leader that was replaced once went on for 39 s.
             log.info(
-                "%s was elected with token %d since: this term is over", sibling, held.fencing_token
+                "%s was elected with token %d since: this term is over", peer, held.fencing_token
             )
             self.step_down()
         if self.shard:
@@ -432,12 +432,12 @@
         if hello.entitled:
             self._last_relayed_fraction = (now, hello.relayed_fraction)
         if hello.is_relay:
-            self._relays_seen_at[sibling] = now
+            self._relays_seen_at[peer] = now
         else:
-            self._relays_seen_at.pop(sibling, None)
+            self._relays_seen_at.pop(peer, None)
 
-    def _collect_votes(self, sibling: str) -> None:
-        client = self.peer_clients[sibling]
+    def _collect_votes(self, peer: str) -> None:
+        client = self.peer_clients[peer]
         seq = 0
         while not self._stop.is_set():
             if not self._renewal_failing.wait(IDLE_S):
@@ -449,7 +449,7 @@
                 process = self._request_vote(client, seq, self.operator.pledge_s)
                 if process is not None:
                     asked = True
-                    self.lease.record_vote(sibling, sent, self._now(), process)
+                    self.lease.record_vote(peer, sent, self._now(), process)
                 self._stop.wait(VOTE_INTERVAL_S)
             if asked:
                 # First stop counting on the promise, then give it back.
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -29,19 +29,19 @@
         store: KeyValueStore,
         post: Callable[[events.Event], None],
         current: Callable[[], Any],
-        routines: Runtime,
+        runtime: Runtime,
         name: str = "commit",
     ) -> None:
         self._name = name
         self._store = store
         self._post = post
         self._current_term = current
-        self._routines = routines
-        self._queue = routines.queue()
-        self._stop = routines.event()
+        self._runtime = runtime
+        self._queue = runtime.queue()
+        self._stop = runtime.event()
 
     def start(self) -> None:
-        self._routines.spawn(self._name, self._run)
+        self._runtime.spawn(self._name, self._run)
 
     def stop(self) -> None:
         self._stop.set()
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -22,9 +22,9 @@
 class PeerStatusListener(Protocol):
     """What follows from who reaches what; see ``appleshift.connectivity``."""
 
-    def peer_status_received(self, sibling: str, hello: peers.PeerStatus, now: float) -> None: ...
+    def peer_status_received(self, peer: str, hello: peers.PeerStatus, now: float) -> None: ...
 
-    def peer_restarted(self, sibling: str) -> None: ...
+    def peer_restarted(self, peer: str) -> None: ...
 
 
 STATUS_INTERVAL_S = 0.6
@@ -38,14 +38,14 @@
         self,
         siblings: dict[str, HttpCaller],
         elections: Callable[[], Iterable[LeaderElection]],
-        routines: Runtime,
+        runtime: Runtime,
         reach: PeerStatusListener,
     ) -> None:
         self._connectivity = reach
         self._peer_clients = siblings
         self._elections = elections
-        self._routines = routines
-        self._stop = routines.event()
+        self._runtime = runtime
+        self._stop = runtime.event()
         self.last_status: dict[str, tuple[float, peers.PeerStatus]] = {}
         """What each sibling said last, and when."""
         self.reachable_since: dict[str, float] = {}
@@ -55,46 +55,46 @@
         """The newest map of shares that a sibling goes by; 0: none does."""
 
     def start(self) -> None:
-        for sibling in self._peer_clients:
-            self._routines.spawn(f"hello-{sibling}", self._poll_peer, sibling)
+        for peer in self._peer_clients:
+            self._runtime.spawn(f"hello-{peer}", self._poll_peer, peer)
 
     def stop(self) -> None:
         self._stop.set()
 
-    def _poll_peer(self, sibling: str) -> None:
-        client = self._peer_clients[sibling]
+    def _poll_peer(self, peer: str) -> None:
+        client = self._peer_clients[peer]
         while not self._stop.is_set():
             elections = list(self._elections())
             try:
                 status, body = client.request("GET", peers.PEER_STATUS_PATH, None, 0.5)
                 if status == 200:
-                    self._status_received(sibling, peers.decode_peer_status(body), elections)
+                    self._status_received(peer, peers.decode_peer_status(body), elections)
             except (ClientError, ProtocolError) as error:
-                log.debug("hello to %s: %s", sibling, error)
-                self.reachable_since.pop(sibling, None)
-            now = self._routines.now()
+                log.debug("hello to %s: %s", peer, error)
+                self.reachable_since.pop(peer, None)
+            now = self._runtime.now()
             cleared = all(election.lease.startup_hold_over(now) for election in elections)
             self._stop.wait(STATUS_INTERVAL_S if cleared else STARTUP_STATUS_INTERVAL_S)
 
     def _status_received(
-        self, sibling: str, hello: peers.PeerStatus, elections: list[LeaderElection]
+        self, peer: str, hello: peers.PeerStatus, elections: list[LeaderElection]
     ) -> None:
-        now = self._routines.now()
-        self.last_status[sibling] = (now, hello)
-        self.reachable_since.setdefault(sibling, now)
+        now = self._runtime.now()
+        self.last_status[peer] = (now, hello)
+        self.reachable_since.setdefault(peer, now)
         self.shard_map_version = max(self.shard_map_version, hello.shard_map_version)
-        before = self._process_ids.get(sibling, hello.process_id)
-        self._process_ids[sibling] = hello.process_id
+        before = self._process_ids.get(peer, hello.process_id)
+        self._process_ids[peer] = hello.process_id
         if before != hello.process_id:
             # It may have ended and come back between two of our questions.
-            log.info("%s was started anew", sibling)
-            self.reachable_since[sibling] = now
-            self._connectivity.peer_restarted(sibling)
+            log.info("%s was started anew", peer)
+            self.reachable_since[peer] = now
+            self._connectivity.peer_restarted(peer)
             for election in elections:
-                election.peer_restarted(sibling, before)
-        self._connectivity.peer_status_received(sibling, hello, now)
+                election.peer_restarted(peer, before)
+        self._connectivity.peer_status_received(peer, hello, now)
         held = {each.shard: each for each in hello.held_shards}
         if hello.leading:
             held[0] = peers.HeldShard(0, hello.fencing_token, hello.entitled)
         for election in elections:
-            election.peer_status_received(sibling, hello, held.get(election.shard))
+            election.peer_status_received(peer, hello, held.get(election.shard))
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -36,13 +36,13 @@
 class Fleet:
     """Part of the core: shares its tables, clock and effects."""
 
-    def __init__(self, core: SchedulerView, groups: Any) -> None:
-        self.core = core
-        self.cluster = core.cluster
-        self.operator = core.operator
-        self.started = core.now
+    def __init__(self, scheduler: SchedulerView, groups: Any) -> None:
+        self.scheduler = scheduler
+        self.cluster = scheduler.cluster
+        self.operator = scheduler.operator
+        self.started = scheduler.now
         # Of several shares only the leader's rents, for all of them.
-        self.is_provisioning = core.sharding is None or core.sharding.shard == 0
+        self.is_provisioning = scheduler.sharding is None or scheduler.sharding.shard == 0
         self.shortages: list[Shortage] = []
         self.types_updated_at = 0.0
         self.requests = 0
@@ -50,9 +50,9 @@
         self.pending_rentals: dict[str, tuple[int, int, bool, int]] = {}
         # (type, zone, spot) -> when to ask again after a refusal, and the pause.
         self.rental_backoffs: dict[tuple[int, int, bool], tuple[float, float]] = {}
-        self.next_review = core.now
-        self._reviewing = TimeBudget(core.clock, REVIEW_SHARE)
-        self.next_regroup = core.now + self.operator.regroup_s
+        self.next_review = scheduler.now
+        self._reviewing = TimeBudget(scheduler.clock, REVIEW_SHARE)
+        self.next_regroup = scheduler.now + self.operator.regroup_s
         # The chosen spot groups, each of one market: (type, zone).
         self.spot_groups: set[tuple[int, int]] = set()
         for name in groups if isinstance(groups, list) else []:
@@ -67,7 +67,7 @@
         # GPUs, whether it may use spot, and the wait that is accepted.
         self.arrivals: deque[tuple[float, float, float, bool, float]] = deque()
         self.list_seen = False
-        self.next_summary = core.now
+        self.next_summary = scheduler.now
         # By pool (with cards or without): steady capacity that is not needed.
         self.on_demand_spare: dict[bool, float] = {}
         # By pool: what was required lately, as (time, capacity).
@@ -80,9 +80,9 @@
         # 8,677 machines for 1,830 that there could be, gave up those that it
         # did not hear, and rented others in their stead.
         self.max_machines = NodeLimits.from_machine_limits(
-            core.settings.deployment.machine_limits
+            scheduler.settings.deployment.machine_limits
         ).machines
-        self._max_machines_at = core.now
+        self._max_machines_at = scheduler.now
         self._logged_full_at = 0.0
         # Of each type, as long as prices stay.
         self._units_by_type: dict[int, float] = {}
@@ -98,60 +98,62 @@
     def set_machine_types(self, types: list[MachineType]) -> None:
         self._units_by_type.clear()
         if self.cluster.set_types(types):
-            self.core.append_records(records.machine_type_records(self.cluster.types))
-            self.core.placement_needed = True
-        self.types_updated_at = self.core.now
+            self.scheduler.append_records(records.machine_type_records(self.cluster.types))
+            self.scheduler.placement_needed = True
+        self.types_updated_at = self.scheduler.now
 
     def job_arrived(self, spec: Submission, at: float) -> None:
-        within = self.core.objectives.wait_s(spec.job_class)
+        within = self.scheduler.objectives.wait_s(spec.job_class)
         if within is not None:
             counted = self.cluster.counted_resources
             tasks = spec.tasks if counted is None else counted.max_concurrent_tasks(spec)
             cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
             self.arrivals.append((at, cpus, gpus, spec.spot, within))
 
-    def adopt(self, report: Heartbeat) -> Machine | None:
+    def adopt(self, heartbeat: Heartbeat) -> Machine | None:
         """A machine we did not know: rented late, or by a leader before us."""
-        if report.machine in self.cluster.deleted_machines or not report.addr:
+        if heartbeat.machine in self.cluster.deleted_machines or not heartbeat.addr:
             return None
-        sharing = self.core.sharding
-        if sharing is not None and not sharing.owns_machine(report.machine, report.type):
+        sharing = self.scheduler.sharding
+        if sharing is not None and not sharing.owns_machine(heartbeat.machine, heartbeat.type):
             return None
-        machine = self.cluster.add_machine(report.machine, report.type, report.zone, report.spot)
+        machine = self.cluster.add_machine(
+            heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot
+        )
         if machine is not None:
             log.info("adopting machine %s", machine.name)
-            machine.rented_at = self.core.now
-            machine.idle_since = self.core.now
+            machine.rented_at = self.scheduler.now
+            machine.idle_since = self.scheduler.now
         return machine
 
-    def heartbeat_received(self, machine: Machine, report: Heartbeat) -> None:
-        if machine.status == BOOTING or machine.addr != report.addr:
+    def heartbeat_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        if machine.status == BOOTING or machine.addr != heartbeat.addr:
             machine.status = UP
-            machine.addr = report.addr
-            machine.idle_since = self.core.now
-            self.core.log.append(records.machine_record(self.cluster, machine))
-            self.core.placement_needed = True
-        if report.reclaim_in_s is not None:
-            self.core.placement_needed = True
+            machine.addr = heartbeat.addr
+            machine.idle_since = self.scheduler.now
+            self.scheduler.write_ahead_log.append(records.machine_record(self.cluster, machine))
+            self.scheduler.placement_needed = True
+        if heartbeat.reclaim_in_s is not None:
+            self.scheduler.placement_needed = True
             if not machine.draining:
-                log.info("machine %s is taken back in %.0f s", machine.name, report.reclaim_in_s)
+                log.info("machine %s is taken back in %.0f s", machine.name, heartbeat.reclaim_in_s)
                 machine.draining = True
                 self.evict_group(machine)
-            machine.reclaim_at = self.core.now + max(0.0, report.reclaim_in_s)
+            machine.reclaim_at = self.scheduler.now + max(0.0, heartbeat.reclaim_in_s)
             self._checkpoint_before_reclaim(machine)
 
     def evict_group(self, machine: Machine) -> None:
         """One machine taken back evicts its group; the others become orphans."""
         if not machine.spot:
             return
-        if not self.is_provisioning and self.core.sharding is not None:
+        if not self.is_provisioning and self.scheduler.sharding is not None:
             # The leader's plan has the groups.
-            self.core.sharding.machine_evicted(machine.type, machine.zone)
+            self.scheduler.sharding.machine_evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
 
     def evict_market(self, market: tuple[int, int]) -> None:
-        self.evicted_markets[market] = self.core.now + self.operator.evict_pause_s
+        self.evicted_markets[market] = self.scheduler.now + self.operator.evict_pause_s
         if market in self.spot_groups:
             self.spot_groups.discard(market)
             log.info("group %s evicted", self._market_name(market))
@@ -159,21 +161,21 @@
     def _checkpoint_before_reclaim(self, machine: Machine) -> None:
         """Stop what can save in time, as late as is safe."""
         assert machine.reclaim_at is not None
-        left = machine.reclaim_at - self.core.now
+        left = machine.reclaim_at - self.scheduler.now
         for run in list(machine.runs.values()):
             grace = stop_grace_s(run)
             if grace > 0 and run.stop_grace_s is None and left < 3.0 * grace + 6.0:
                 if run.job.gang:
-                    self.core.stop_gang(run.job, grace, "notice")
+                    self.scheduler.stop_gang(run.job, grace, "notice")
                 else:
-                    self.core.stop_run(run, grace, "notice")
+                    self.scheduler.stop_run(run, grace, "notice")
 
     def delete(self, machine: Machine, reason: str) -> None:
         """Delete a machine with whatever is on it; the answer is proof."""
         if machine.deletion_requested:
             return
         log.info("deleting machine %s: %s", machine.name, reason)
-        self.core.delete_machines([machine])
+        self.scheduler.delete_machines([machine])
 
     def machine_deleted(self, machine: Machine) -> None:
         if machine.spot and machine.reclaim_at is not None:
@@ -186,8 +188,8 @@
 
         Only a list of which every row could be read says what is not in it.
         """
-        now = self.core.now
-        lag = self.core.settings.deployment.cloud.list_lag_s
+        now = self.scheduler.now
+        lag = self.scheduler.settings.deployment.cloud.list_lag_s
         names = set()
         self.list_seen = True
         for row in rows:
@@ -203,7 +205,7 @@
                 self.mark_shard(machine)
                 machine.rented_at = now - row.age_s
                 machine.idle_since = now
-                machine.lease_until = now + self.core.worker_lease_s
+                machine.lease_until = now + self.scheduler.worker_lease_s
             # Before its first report this is where it can be asked.
             machine.listed_addr = row.addr or machine.listed_addr
             if machine.listed_at is None:
@@ -231,7 +233,7 @@
 
     def mark_shard(self, machine: Machine) -> None:
         """Is it for another share?"""
-        sharing = self.core.sharding
+        sharing = self.scheduler.sharding
         if sharing is not None:
             kind = self.cluster.type_names.names[machine.type]
             given = machine.name in self.cluster.handed_off
@@ -253,7 +255,7 @@
         if refused or (names is not None and len(names) < count):
             _, pause = self.rental_backoffs.get((kind, zone, spot), (0.0, 0.0))
             pause = min(60.0, max(self.operator.refusal_backoff_s, pause * 1.5))
-            self.rental_backoffs[(kind, zone, spot)] = (self.core.now + pause, pause)
+            self.rental_backoffs[(kind, zone, spot)] = (self.scheduler.now + pause, pause)
         elif names:
             self.rental_backoffs.pop((kind, zone, spot), None)
         type_name, zone_name = self.cluster.type_names.names[kind], self.cluster.zones.names[zone]
@@ -268,9 +270,9 @@
         for name in names or []:
             machine = self.cluster.add_machine(name, type_name, zone_name, spot)
             if machine is not None and machine.rented_at == 0.0:
-                machine.rented_at = self.core.now
+                machine.rented_at = self.scheduler.now
                 self.mark_shard(machine)
-        self.next_review = min(self.next_review, self.core.now)
+        self.next_review = min(self.next_review, self.scheduler.now)
 
     def accepts_rentals(self, kind: int, zone: int, spot: bool) -> bool:
         """This market has not refused lately, and what it gives could be heard."""
@@ -278,7 +280,7 @@
             asked = any(entry[1] == zone for entry in self.pending_rentals.values())
             if asked or not self.health.may_try_unreachable(zone):
                 return False
-        return self.rental_backoffs.get((kind, zone, spot), (0.0, 0.0))[0] <= self.core.now
+        return self.rental_backoffs.get((kind, zone, spot), (0.0, 0.0))[0] <= self.scheduler.now
 
     def is_exhausted(self, kind: int, zone: int, spot: bool) -> bool:
         """Asked last, this market had less than was wanted."""
@@ -301,7 +303,7 @@
         for machine in list(self.cluster.machines.values()):
             if machine.deletion_requested:
                 if machine.retry_deletion_at <= now:
-                    self.core.delete_machines([machine])
+                    self.scheduler.delete_machines([machine])
                 continue
             if machine.status == BOOTING:
                 self._check_boot(machine, now)
@@ -311,7 +313,7 @@
                 self.delete(machine, "sick and empty")
             elif machine.reclaim_at is not None:
                 self._checkpoint_before_reclaim(machine)
-        if not self.cluster.types or not self.core.lease.may_write(now):
+        if not self.cluster.types or not self.scheduler.lease.may_write(now):
             return
         self.consolidation.step(now)
         if not self.is_provisioning:
@@ -333,7 +335,7 @@
             # Its reports may find no place: ask it. An answer says that it is up.
             if not machine.probe_in_flight:
                 machine.probe_in_flight = True
-                self.core.actions.append(ProbeMachine(machine.name, machine.listed_addr))
+                self.scheduler.actions.append(ProbeMachine(machine.name, machine.listed_addr))
             return
         self.delete(machine, "did not come up")
 
@@ -362,7 +364,7 @@
         if table != self._written_spot_groups and now - self._spot_groups_written_at >= 1.0:
             self._written_spot_groups = table
             self._spot_groups_written_at = now
-            self.core.log.append([records.SPOT_GROUPS, table])
+            self.scheduler.write_ahead_log.append([records.SPOT_GROUPS, table])
 
     def _review_plan(self, now: float) -> None:
         if not self.list_seen and now - self.started < 5.0:
@@ -386,7 +388,7 @@
     def set_max_machines(self, machines: int) -> None:
         """So many machines the nodes together can hear. One that is missing for a
         moment, as after each takeover, changes nothing yet."""
-        now = self.core.now
+        now = self.scheduler.now
         if machines >= self.max_machines:
             self.max_machines, self._max_machines_at = machines, now
         elif now - self._max_machines_at > SETTLED_S:
@@ -403,8 +405,11 @@
 
     def rent(self, kind: int, zone: int, spot: bool, count: int) -> None:
         count = min(count, cloud.MAX_RENT)
-        if count > self.rentable_machines() and self.core.now - self._logged_full_at >= SUMMARY_S:
-            self._logged_full_at = self.core.now
+        if (
+            count > self.rentable_machines()
+            and self.scheduler.now - self._logged_full_at >= SUMMARY_S
+        ):
+            self._logged_full_at = self.scheduler.now
             log.warning(
                 "%d machines are as many as the nodes can hear: nothing beyond is rented",
                 self.max_machines,
@@ -417,9 +422,9 @@
             return
         self.requests += 1
         # The token makes the name unique among leaders, the number within one.
-        request = f"r-{self.core.fencing_token}-{self.requests}"
+        request = f"r-{self.scheduler.fencing_token}-{self.requests}"
         self.pending_rentals[request] = (kind, zone, spot, count)
         names = self.cluster.type_names.names
-        self.core.actions.append(
+        self.scheduler.actions.append(
             RentMachines(request, names[kind], self.cluster.zones.names[zone], spot, count)
         )
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -49,23 +49,23 @@
 
     def __init__(self, fleet: FleetView) -> None:
         self._fleet = fleet
-        self._core = fleet.core
+        self._scheduler = fleet.scheduler
         self._cluster = fleet.cluster
-        self._started = fleet.core.now
+        self._started = fleet.scheduler.now
         # Zones that are cut off, and since when.
         self.unreachable_zones: dict[int, float] = {}
         # Since when zones that were cut off are back.
         self._reachable_again_at: dict[int, float] = {}
 
     def check(self, now: float) -> None:
-        report_s = self._core.settings.deployment.workers.report_s
+        report_s = self._scheduler.settings.deployment.workers.report_s
         # Reports are a quarter late at most: one that is missing is probed for
         # at once, and two intervals without any must have passed.
         probe_s = report_s * 1.4
         # A new leader asks those that have not found it yet, not all at once.
         new_s = min(probe_s, NEW_LEADER_S)
         inspections = MAX_INSPECTIONS
-        silent_s = max(self._core.operator.silent_s, 2.2 * report_s)
+        silent_s = max(self._scheduler.operator.silent_s, 2.2 * report_s)
         silent: dict[int, list[Machine]] = {}
         up: dict[int, int] = {}
         for machine in self._cluster.machines.values():
@@ -122,7 +122,7 @@
                     probes -= 1
                     inspections -= 1
                     machine.probe_in_flight = True
-                    self._core.actions.append(ProbeMachine(machine.name, machine.addr))
+                    self._scheduler.actions.append(ProbeMachine(machine.name, machine.addr))
 
     def _silent_for_s(self, machine: Machine, now: float) -> float:
         """For how long a machine could have been heard, or shown that it hears, and did not."""
@@ -133,7 +133,10 @@
     def is_trusted(self, zone: int) -> bool:
         """Is a zone's capacity there? A zone may seem dark for a moment after a
         takeover; what it holds is not rented anew for that."""
-        return self._core.now - self.unreachable_zones.get(zone, self._core.now) <= CONFIRMED_LOST_S
+        return (
+            self._scheduler.now - self.unreachable_zones.get(zone, self._scheduler.now)
+            <= CONFIRMED_LOST_S
+        )
 
     def may_try_unreachable(self, zone: int) -> bool:
         """May a single machine be rented in a zone that is cut off, to find out?
@@ -142,7 +145,7 @@
         it again. Jobs that are bound to it once waited three minutes for that reason alone.
         """
         since = self.unreachable_zones.get(zone)
-        if since is None or self._core.now - since < UNREACHABLE_RETRY_S:
+        if since is None or self._scheduler.now - since < UNREACHABLE_RETRY_S:
             return False
         machines = self._cluster.machines.values()
         return not any(each.zone == zone and not each.deletion_requested for each in machines)
@@ -154,7 +157,7 @@
         for zone in self.unreachable_zones.keys() - zones:
             log.info("zone %s is back", self._cluster.zones.names[zone])
             del self.unreachable_zones[zone]
-            self._core.placement_needed = True
+            self._scheduler.placement_needed = True
             # Most of it is heard; the rest gets its time to be, as after a
             # takeover. Once 41 machines were deleted in the second in which a
             # zone came back, for what they had not answered while it was dark.
@@ -182,7 +185,7 @@
             return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
         if quiet > silent_s and machine.unanswered_probes >= probes:
             return True
-        return quiet > self._core.worker_lease_s + silent_s and machine.empty()
+        return quiet > self._scheduler.worker_lease_s + silent_s and machine.empty()
 
     def _frees_more_than_it_costs(self, machine: Machine) -> bool:
         """Replicas that may start elsewhere gain a lease's time by a deletion; those
@@ -218,11 +221,11 @@
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
-            self._core.liveness.command_result(machine, answered)
+            self._scheduler.liveness.command_result(machine, answered)
 
     def task_failed(self, machine: Machine, job: Job) -> None:
         """Tell a faulty machine from a faulty job by who else failed where."""
-        now = self._core.now
+        now = self._scheduler.now
         job.failed_machines.add(machine.index)
         job.avoided_machines[machine.index] = now + AVOID_S
         machine.avoid_until = now + PAUSE_S
@@ -235,10 +238,10 @@
             return
         machine.job_errors[job.index] = now
         recent = [at for at in machine.job_errors.values() if at > now - ERROR_WINDOW_S]
-        if len(recent) >= self._core.operator.sick_jobs and not machine.quarantined:
+        if len(recent) >= self._scheduler.operator.sick_jobs and not machine.quarantined:
             log.info("machine %s fails tasks of several jobs: set aside", machine.name)
             machine.quarantined = True
-            self._core.placement_needed = True
+            self._scheduler.placement_needed = True
 
     def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
         """Tell a slow machine from long work: by the same job's tasks elsewhere."""
@@ -249,7 +252,7 @@
             if machine.slow_count >= SLOW_TASKS and machine.slowness > SLOW_RATIO:
                 log.info("machine %s is %.1f times slower", machine.name, machine.slowness)
                 machine.quarantined = True
-                self._core.placement_needed = True
+                self._scheduler.placement_needed = True
                 return
         job.completed_run_s += seconds
         job.completed_runs += 1
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -29,19 +29,19 @@
 class MachineLiveness:
     """Part of the fleet; owned by the core's routine."""
 
-    def __init__(self, core: SchedulerView) -> None:
-        self._core = core
-        self._started = core.now
-        self._heartbeats_lost_after_s = core.settings.deployment.workers.lease_s / 2
+    def __init__(self, scheduler: SchedulerView) -> None:
+        self._scheduler = scheduler
+        self._started = scheduler.now
+        self._heartbeats_lost_after_s = scheduler.settings.deployment.workers.lease_s / 2
 
-    def is_new_heartbeat(self, machine: Machine, report: Heartbeat) -> bool:
+    def is_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """A report came; true if no copy of it, nor a newer one, was there before."""
         # With its session: an answer to a question may have told of a new one before, in
         # which numbers begin anew. What was renewed there once counted as copies.
-        number = (report.agent_epoch, report.seq)
+        number = (heartbeat.agent_epoch, heartbeat.seq)
         if number <= machine.last_heartbeat:
             return False
-        now = self._core.now
+        now = self._scheduler.now
         if machine.last_heartbeat_at > -math.inf:
             hears = now - machine.last_heartbeat_at < HEARTBEAT_TIMEOUT_S
         else:
@@ -50,9 +50,9 @@
         self._record_heartbeat(machine, now, hears)
         machine.last_heartbeat = number
         machine.heartbeats_lost = False
-        if not hears and report.addr and not machine.probe_in_flight:
+        if not hears and heartbeat.addr and not machine.probe_in_flight:
             machine.probe_in_flight = True
-            self._core.actions.append(ProbeMachine(machine.name, report.addr))
+            self._scheduler.actions.append(ProbeMachine(machine.name, heartbeat.addr))
         return True
 
     @staticmethod
@@ -72,20 +72,20 @@
         """Take in what reports that said nothing new have left."""
         cell = machine.fast_path_entry
         if cell is not None:
-            at, session, seq, hears = cell.heard
+            at, agent_epoch, seq, hears = cell.heard
             # Whatever else was heard meanwhile: the answer to a direct command is later,
             # but renews no lease. When only later times counted, leases that had been
             # renewed here were taken for over, and eight tasks ran twice on one day.
-            machine.lease_until = max(machine.lease_until, at + self._core.worker_lease_s)
+            machine.lease_until = max(machine.lease_until, at + self._scheduler.worker_lease_s)
             if at > machine.last_heartbeat_at:
                 self._record_heartbeat(machine, at, hears)
                 machine.last_heard = max(machine.last_heard, at)
-            if session == machine.agent_epoch:
+            if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
-            machine.last_heartbeat = max(machine.last_heartbeat, (session, seq))
+            machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
         # One whose reports are lost may answer, but its lease will be over.
         machine.heartbeats_lost = (
-            self._core.now - max(machine.last_heartbeat_at, self._started)
+            self._scheduler.now - max(machine.last_heartbeat_at, self._started)
             > self._heartbeats_lost_after_s
         )
 
@@ -97,4 +97,4 @@
             ) = 0
         else:
             machine.unanswered_probes += 1
-            machine.commands_lost_since = machine.commands_lost_since or self._core.now
+            machine.commands_lost_since = machine.commands_lost_since or self._scheduler.now
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -53,41 +53,39 @@
         self,
         settings: Settings,
         operator: OperatorSettings,
-        routines: Runtime | None = None,
+        runtime: Runtime | None = None,
         connect: Callable[[tuple[str, int]], HttpCaller] = HttpClient,
     ) -> None:
-        self.runtime = routines = routines or ThreadRuntime()
+        self.runtime = runtime = runtime or ThreadRuntime()
         self.settings = settings
         self.operator = operator
         deployment = settings.deployment
-        self._events = routines.queue()
-        self._stop = routines.event()
+        self._events = runtime.queue()
+        self._stop = runtime.event()
         self._started = False
-        siblings = {
-            sibling.name: connect(split_address(sibling.peer_addr)) for sibling in settings.siblings
-        }
+        siblings = {peer.name: connect(split_address(peer.peer_addr)) for peer in settings.siblings}
         # All nodes share the rate; so does whoever else leads or stands by mistake.
         share = 0.9 / max(3, len(siblings) + 1)
         self.store = KeyValueStore(
-            connect(split_address(settings.external.state)), deployment.state.rps * share, routines
+            connect(split_address(settings.external.state)), deployment.state.rps * share, runtime
         )
         self._limits = capacity = NodeLimits.from_machine_limits(
             deployment.machine_limits, operator.shares > 1
         )
         self.workers = WorkerCalls(
-            self._post, connect, routines, size=capacity.calls, most=capacity.clients
+            self._post, connect, runtime, size=capacity.calls, most=capacity.clients
         )
         self.cloud = CloudCalls(
             self._post,
             connect(split_address(settings.external.cloud)),
-            routines,
+            runtime,
             deployment.cloud.rps,
             deployment.cloud.list_lag_s,
         )
         self._context = NodeContext(
             settings,
             operator,
-            routines,
+            runtime,
             self.store,
             siblings,
             connect,
@@ -106,18 +104,18 @@
             lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
             siblings,
-            routines,
+            runtime,
         )
         if siblings:
             self._context.candidacy_delay_s = self.connectivity.candidacy_delay_s
-        self._peer_monitor = PeerMonitor(siblings, self._all_elections, routines, self.connectivity)
+        self._peer_monitor = PeerMonitor(siblings, self._all_elections, runtime, self.connectivity)
         self.router = RequestRouter(
             self.replicas,
             siblings,
             self._post,
             lambda: self._events.qsize() / capacity.max_queued,
             self.workers.is_reachable,
-            routines,
+            runtime,
             self.store,
             lambda: relay_assignment.max_machines(capacity.machines, len(self.election.relays())),
             self._own_status,
@@ -125,7 +123,7 @@
             lambda: self._connections() > CROWDED_SHARE * capacity.connections,
             self.connectivity.heartbeat_received,
         )
-        self._load_monitor = LoadMonitor(deployment.machine_limits, capacity, routines.now())
+        self._load_monitor = LoadMonitor(deployment.machine_limits, capacity, runtime.now())
         self._listeners: list[HttpListener] = []
         self._next_relay_update = self._next_sample_update = self._relays_seen_at = 0.0
         if operator.shares > 1:
@@ -173,8 +171,8 @@
         for listener in self._listeners:
             listener.start()
         self._started = True
-        for holding in [*self.replicas.values()]:
-            holding.start()
+        for replica in [*self.replicas.values()]:
+            replica.start()
         self._peer_monitor.start()
         if self.settings.siblings:
             self.connectivity.start()
@@ -190,9 +188,9 @@
         self._stop.set()
         self._peer_monitor.stop()
         self.connectivity.stop()
-        for holding in [*self.replicas.values()]:
-            holding.stop()
-            self._post(events.LeadershipLost(holding.shard))
+        for replica in [*self.replicas.values()]:
+            replica.stop()
+            self._post(events.LeadershipLost(replica.shard))
         for listener in self._listeners:
             listener.stop()
         self.cloud.stop()
@@ -209,7 +207,7 @@
     # -- shares ------------------------------------------------------------------
 
     def _all_elections(self) -> list[LeaderElection]:
-        return [holding.election for holding in [*self.replicas.values()]]
+        return [replica.election for replica in [*self.replicas.values()]]
 
     def _shard_map(self) -> ShardMap | None:
         return None if self.shard_map_follower is None else self.shard_map_follower.shard_map
@@ -225,11 +223,11 @@
         if self._started:
             self.shard_map_follower.start()
 
-    def _add_replica(self, holding: ShardReplica) -> None:
+    def _add_replica(self, replica: ShardReplica) -> None:
         """The map has a share more."""
-        self.replicas[holding.shard] = holding
+        self.replicas[replica.shard] = replica
         if self._started:
-            holding.start()
+            replica.start()
 
     def _own_status(self) -> peers.PeerStatus:
         now = self.runtime.now()
@@ -265,14 +263,14 @@
                 # The cores' state can no longer be trusted; what is durable
                 # can. Other terms start from there.
                 log.exception("core failed: giving up this term")
-                for holding in [*self.replicas.values()]:
-                    holding.scheduler = holding.term = None
-                    holding.election.step_down()
+                for replica in [*self.replicas.values()]:
+                    replica.scheduler = replica.term = None
+                    replica.election.step_down()
                 self.cloud.set_term(None)
 
     def _run_round(self) -> None:
-        holdings = [*self.replicas.values()]
-        busy = any(holding.is_busy() for holding in holdings)
+        replicas = [*self.replicas.values()]
+        busy = any(replica.is_busy() for replica in replicas)
         event: events.Event | None = None
         with contextlib.suppress(queue.Empty):
             event = self._events.get(timeout=BUSY_WAIT_S if busy else IDLE_WAIT_S)
@@ -284,18 +282,18 @@
             self._handle(event)
             for _ in range(handled - 1):
                 self._handle(self._events.get_nowait())
-        for holding in holdings:
-            holding.run_round()
+        for replica in replicas:
+            replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
         elif self._peer_monitor.shard_map_version:
             # A sibling goes by a map of shares that this node was not told of.
             self._follow_shard_map()
-        core = self.scheduler
-        if core is not None:
-            if core.sharding is None:
-                self._update_relayed_fraction(core, self.runtime.now())
-            self._update_worker_sample(core, self.runtime.now())
+        scheduler = self.scheduler
+        if scheduler is not None:
+            if scheduler.sharding is None:
+                self._update_relayed_fraction(scheduler, self.runtime.now())
+            self._update_worker_sample(scheduler, self.runtime.now())
         self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
         if handled:
             # What comes meanwhile is handled at once in the next round: to wake
@@ -307,20 +305,20 @@
 
     def _handle(self, event: events.Event) -> None:
         if isinstance(event, events.HandOverRequested):
-            for holding in [*self.replicas.values()]:
-                holding.handle(event)
+            for replica in [*self.replicas.values()]:
+                replica.handle(event)
         else:
             self.replicas[event.shard].handle(event)
 
-    def _update_worker_sample(self, core: Scheduler, now: float) -> None:
+    def _update_worker_sample(self, scheduler: Scheduler, now: float) -> None:
         """Name some workers, over the zones, that others may ask whether they reach any."""
         if now < self._next_sample_update:
             return
         self._next_sample_update = now + SAMPLE_INTERVAL_S
-        if not core.cluster.machines:
+        if not scheduler.cluster.machines:
             self.connectivity.worker_contacts.forget()
         by_zone: dict[int, list[str]] = {}
-        for machine in core.cluster.machines.values():
+        for machine in scheduler.cluster.machines.values():
             some = by_zone.setdefault(machine.zone, [])
             if (
                 machine.addr
@@ -333,22 +331,22 @@
             address for row in rows for address in row if address
         )
 
-    def _update_relayed_fraction(self, core: Scheduler, now: float) -> None:
+    def _update_relayed_fraction(self, scheduler: Scheduler, now: float) -> None:
         """Send some machines' reports to other nodes if they are too many for this one."""
         if now < self._next_relay_update:
             return
         self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
         places = self._limits.machines
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
-        self._relays_seen_at = max(self._relays_seen_at, core.started)
+        self._relays_seen_at = max(self._relays_seen_at, scheduler.started)
         if relays:
             self._relays_seen_at = now
         elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        core.fleet.set_max_machines(relay_assignment.max_machines(places, relays))
+        scheduler.fleet.set_max_machines(relay_assignment.max_machines(places, relays))
         share = relay_assignment.next_relayed_fraction(
-            len(core.cluster.machines), places, relays, self.election.relayed_fraction
+            len(scheduler.cluster.machines), places, relays, self.election.relayed_fraction
         )
         if share != self.election.relayed_fraction:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
--- a/appleshift/objectives/achieved.py
+++ b/appleshift/objectives/achieved.py
@@ -54,9 +54,11 @@
 class AchievedObjectives:
     """Of one term of a share; the core's routine asks and writes it."""
 
-    def __init__(self, cluster: ClusterState, aims: Objectives, now: float, wall: float) -> None:
+    def __init__(
+        self, cluster: ClusterState, objectives: Objectives, now: float, wall: float
+    ) -> None:
         self._cluster = cluster
-        self._aims = aims
+        self._objectives = objectives
         self._next_check = now
         self._next_log = now + SAY_S
         self._tracked: dict[int, _TrackedJob] = {}
@@ -87,7 +89,7 @@
             self._log_low_ratios()
 
     def _track(self, job: Job) -> _TrackedJob:
-        seen = _TrackedJob(job, self._aims.deadlines(job, START_S))
+        seen = _TrackedJob(job, self._objectives.deadlines(job, START_S))
         if job.submitted < self._began and job.last_attempt > 0:
             # It started in an earlier term, and nobody here knows when.
             seen.started = True
@@ -142,7 +144,7 @@
     def _compare_teams(self) -> None:
         parts = {key[1]: part for key, (part, _) in self.ratios().items() if key[0] == "team"}
         best = max(parts.values(), default=0.0)
-        behind = self._aims.teams_behind
+        behind = self._objectives.teams_behind
         for number, team in enumerate(self._cluster.teams):
             name = team.limits.name
             part = parts.get(name, 1.0)
--- a/appleshift/placement/fair_share.py
+++ b/appleshift/placement/fair_share.py
@@ -135,9 +135,9 @@
     return sum(len(job.runs) * job.spec.cpus for job in jobs)
 
 
-def _cpus_needed(jobs: Iterable[Job], aims: BestEffortPolicy) -> float:
+def _cpus_needed(jobs: Iterable[Job], objectives: BestEffortPolicy) -> float:
     return sum(
         (len(job.runs) + len(job.pending)) * job.spec.cpus
         for job in jobs
-        if job.status == OPEN and job.spec.gpus <= 0 and not aims.is_best_effort(job)
+        if job.status == OPEN and job.spec.gpus <= 0 and not objectives.is_best_effort(job)
     )
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -65,12 +65,12 @@
         now: float,
         wall: float,
         heard_after: float,
-        aims: Objectives | None = None,
+        objectives: Objectives | None = None,
         seats: CountedResourcePass | None = None,
     ) -> None:
         self.cluster = cluster
         self.counted_resources = seats
-        self.objectives = aims or Objectives()
+        self.objectives = objectives or Objectives()
         self.now = now
         self.wall = wall
         # Usable machines by (type, zone, spot); a job may use whole such pools.
--- a/appleshift/protocol/counted_resources.py
+++ b/appleshift/protocol/counted_resources.py
@@ -27,7 +27,7 @@
 _Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
 
 
-class TeamSeats(msgspec.Struct, frozen=True, omit_defaults=True):
+class TeamAllotment(msgspec.Struct, frozen=True, omit_defaults=True):
     """A team's share of one resource; 0 means none, as for CPUs."""
 
     name: str
@@ -35,7 +35,7 @@
     guarantee: Count = 0
 
 
-class LicenceServer(msgspec.Struct, frozen=True, omit_defaults=True):
+class LicenseServer(msgspec.Struct, frozen=True, omit_defaults=True):
     """Who hands the seats out in the end, and whom others ask as well."""
 
     address: str
@@ -47,18 +47,18 @@
     """TRUST grants on within the last known figure instead."""
 
 
-class SeatDefinition(msgspec.Struct, frozen=True, omit_defaults=True):
+class CountedResourceDefinition(msgspec.Struct, frozen=True, omit_defaults=True):
     """One counted resource."""
 
     name: str
     total: Count
-    teams: tuple[TeamSeats, ...] = ()
-    server: LicenceServer | None = None
+    teams: tuple[TeamAllotment, ...] = ()
+    server: LicenseServer | None = None
     when_lowered: Literal["KEEP", "STOP"] = KEEP  # type: ignore[assignment]
     """What becomes of work beyond a total that was lowered."""
 
 
-class SeatRules(msgspec.Struct, frozen=True, omit_defaults=True):
+class CountedResourceRules(msgspec.Struct, frozen=True, omit_defaults=True):
     """What holds for all counted resources. Durations are in seconds."""
 
     off: bool = False
@@ -69,7 +69,7 @@
     """Pages of the audit that are kept in the state service."""
 
 
-def check_definition(definition: SeatDefinition) -> None:
+def check_definition(definition: CountedResourceDefinition) -> None:
     """ValueError says what of a single definition cannot be used."""
     if not _NAME.fullmatch(definition.name):
         raise ValueError("a name is 1 to 40 of a-z, 0-9, '.', '_' and '-'")
@@ -89,7 +89,7 @@
 
 
 def check_definitions(
-    definitions: tuple[SeatDefinition, ...], teams: list[TeamLimits], value_bytes: int
+    definitions: tuple[CountedResourceDefinition, ...], teams: list[TeamLimits], value_bytes: int
 ) -> tuple[str, str] | None:
     """What does not go with the platform's settings, as (the text at fault, reason)."""
     known = {team.name for team in teams}
@@ -108,14 +108,14 @@
     return None
 
 
-def to_record(definition: SeatDefinition) -> dict[str, Any]:
+def to_record(definition: CountedResourceDefinition) -> dict[str, Any]:
     """A definition as it stands in the log."""
     record: dict[str, Any] = msgspec.to_builtins(definition)
     return record
 
 
-def from_record(record: Any) -> SeatDefinition:
-    return msgspec.convert(record, SeatDefinition)
+def from_record(record: Any) -> CountedResourceDefinition:
+    return msgspec.convert(record, CountedResourceDefinition)
 
 
 class _Asked(msgspec.Struct, frozen=True):
@@ -128,7 +128,7 @@
     ]
 
 
-def asked(field: Any) -> dict[str, int]:
+def requested_counts(field: Any) -> dict[str, int]:
     """The ``seats`` field of a submission, or ProtocolError 400."""
     if field is None:
         return {}
--- a/appleshift/protocol/kv.py
+++ b/appleshift/protocol/kv.py
@@ -28,29 +28,29 @@
     more: bool = False
 
 
-class TxnDone(msgspec.Struct, frozen=True, rename={"revision": "ledger_no"}):
+class TransactionDone(msgspec.Struct, frozen=True, rename={"revision": "ledger_no"}):
     revision: int
 
 
-class TxnFailed(msgspec.Struct, frozen=True):
+class CompareFailed(msgspec.Struct, frozen=True):
     failed: list[str]
 
 
-class Granted(msgspec.Struct, frozen=True, rename={"lease": "permit"}):
+class LeaseGranted(msgspec.Struct, frozen=True, rename={"lease": "permit"}):
     lease: int
 
 
-class Changes(msgspec.Struct, frozen=True, rename={"revision": "ledger_no"}):
+class ChangeFeed(msgspec.Struct, frozen=True, rename={"revision": "ledger_no", "changes": "news"}):
     revision: int
-    news: list[dict[str, Any]] = []
+    changes: list[dict[str, Any]] = []
 
 
 _item = msgspec.msgpack.Decoder(Item)
 _page = msgspec.msgpack.Decoder(Page)
-_done = msgspec.msgpack.Decoder(TxnDone)
-_failed = msgspec.msgpack.Decoder(TxnFailed)
-_granted = msgspec.msgpack.Decoder(Granted)
-_changes = msgspec.msgpack.Decoder(Changes)
+_done = msgspec.msgpack.Decoder(TransactionDone)
+_failed = msgspec.msgpack.Decoder(CompareFailed)
+_granted = msgspec.msgpack.Decoder(LeaseGranted)
+_changes = msgspec.msgpack.Decoder(ChangeFeed)
 
 
 def decode_item(body: bytes) -> Item:
@@ -61,11 +61,11 @@
     return decode_as(_page, body)
 
 
-def decode_txn(body: bytes) -> int:
+def decode_transaction(body: bytes) -> int:
     return decode_as(_done, body).revision
 
 
-def decode_failed(body: bytes) -> list[str]:
+def decode_compare_failed(body: bytes) -> list[str]:
     return decode_as(_failed, body).failed
 
 
@@ -73,7 +73,7 @@
     return decode_as(_granted, body).lease
 
 
-def decode_changes(body: bytes) -> Changes:
+def decode_changes(body: bytes) -> ChangeFeed:
     return decode_as(_changes, body)
 
 
@@ -92,7 +92,7 @@
     return {"key": key, "stamp": version}
 
 
-def txn_body(guards: list[dict[str, Any]], changes: list[dict[str, Any]]) -> dict[str, Any]:
+def transaction_body(guards: list[dict[str, Any]], changes: list[dict[str, Any]]) -> dict[str, Any]:
     return {"guards": guards, "then": changes}
 
 
--- a/appleshift/protocol/license_server.py
+++ b/appleshift/protocol/license_server.py
@@ -16,7 +16,7 @@
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]
 
 
-class Heartbeat(msgspec.Struct, frozen=True):
+class ReservationRequest(msgspec.Struct, frozen=True):
     """What an account reserves, and whose seats it gives back."""
 
     account: str
@@ -26,12 +26,12 @@
     returned: list[str]
 
 
-class Holder(msgspec.Struct, frozen=True):
+class LicenseHolder(msgspec.Struct, frozen=True):
     holder: str
     count: _Count
 
 
-class Standing(msgspec.Struct, frozen=True):
+class ReservationReply(msgspec.Struct, frozen=True):
     """What the server says of a resource and of an account."""
 
     serial: int
@@ -41,22 +41,22 @@
     reserved: _Count
     """Seats that are this account's until ``ttl_s`` after the heartbeat."""
     ttl_s: Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
-    holders: list[Holder] = []
+    holders: list[LicenseHolder] = []
     """Who has checked seats of the reservation out."""
 
 
-_standing = msgspec.msgpack.Decoder(Standing)
+_standing = msgspec.msgpack.Decoder(ReservationReply)
 
 
-def heartbeat_path(resource: str) -> str:
+def reservation_path(resource: str) -> str:
     return f"/v1/seats/{quote(resource, safe='')}/heartbeat"
 
 
-def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
+def encode_reservation_request(heartbeat: ReservationRequest) -> bytes:
     return encode(heartbeat)
 
 
-def decode_standing(body: bytes) -> Standing:
+def decode_reservation_reply(body: bytes) -> ReservationReply:
     """ProtocolError if it cannot be read, or contradicts itself."""
     standing = decode_as(_standing, body)
     if not standing.ttl_s < float("inf"):
--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -16,7 +16,10 @@
 from appleshift.protocol.settings import Settings, SettingsError
 
 if TYPE_CHECKING:
-    from appleshift.protocol.counted_resources import SeatDefinition, SeatRules
+    from appleshift.protocol.counted_resources import (
+        CountedResourceDefinition,
+        CountedResourceRules,
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,8 +59,8 @@
     # Order among jobs.
     preempt: bool = True
     # Counted resources; see deploy/seats.textproto.
-    seats: tuple[SeatDefinition, ...] = ()
-    seat_rules: SeatRules | None = None
+    seats: tuple[CountedResourceDefinition, ...] = ()
+    seat_rules: CountedResourceRules | None = None
 
 
 _BOUNDS: dict[str, tuple[float, float]] = {
@@ -242,13 +245,15 @@
     definitions = []
     for message in seats:
         try:
-            definition = msgspec.convert(_plain(message), protocol.SeatDefinition)
+            definition = msgspec.convert(_plain(message), protocol.CountedResourceDefinition)
             protocol.check_definition(definition)
         except ValueError as error:
             raise refuse(message.name or "seats", str(error)) from None
         definitions.append(definition)
     try:
-        told = msgspec.convert(_plain(rules) if rules is not None else {}, protocol.SeatRules)
+        told = msgspec.convert(
+            _plain(rules) if rules is not None else {}, protocol.CountedResourceRules
+        )
     except ValueError as error:
         raise refuse("seat_rules", str(error)) from None
     if platform is not None:
--- a/appleshift/protocol/settings.py
+++ b/appleshift/protocol/settings.py
@@ -113,7 +113,7 @@
         settings.cluster_listen,
         settings.external.cloud,
         settings.external.state,
-        *(sibling.peer_addr for sibling in settings.siblings),
+        *(peer.peer_addr for peer in settings.siblings),
     ):
         split_address(address)
     deployment = settings.deployment
@@ -136,7 +136,7 @@
             raise ValueError(f"{where} must be a number above 0, not {value}")
     if deployment.state.value_kb < MIN_VALUE_KB:
         raise ValueError(f"deployment.state.value_kb must be at least {MIN_VALUE_KB}")
-    names = [settings.name, *(sibling.name for sibling in settings.siblings)]
+    names = [settings.name, *(peer.name for peer in settings.siblings)]
     if len(set(names)) != len(names):
         raise ValueError("host_name: two nodes have the same name")
     if len({team.name for team in deployment.teams}) != len(deployment.teams):
--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -10,16 +10,16 @@
 from appleshift.protocol.users import Submission
 from appleshift.protocol.wire import ProtocolError, decode_as
 
-SHARE_PATH = "/peer/share"
-MAP_KEY = "shares"
-MOST_SHARES = 64
+SHARD_CALL_PATH = "/peer/share"
+SHARD_MAP_KEY = "shares"
+MAX_SHARDS = 64
 
 GONE, UP, LEAVING, MOVED = range(4)
 """What a holder says of a machine: it is no more, it works, it takes no new work, it
 was handed on to another share."""
 
 
-class Epoch(msgspec.Struct, frozen=True):
+class ShardMapEpoch(msgspec.Struct, frozen=True):
     """Which share has what, of all that came after a machine's name."""
 
     count: int
@@ -33,16 +33,16 @@
     """Those of them that are given new jobs; the others end what they have."""
 
 
-class MapValue(msgspec.Struct, frozen=True):
+class ShardMapValue(msgspec.Struct, frozen=True):
     """Value of the map's key."""
 
-    epochs: list[Epoch]
+    epochs: list[ShardMapEpoch]
     changing: bool = False
     """While it changes nobody but the leader holds a share."""
     mark: str = ""
 
 
-class Portion(msgspec.Struct, frozen=True, array_like=True):
+class ArrayPartition(msgspec.Struct, frozen=True, array_like=True):
     """Tasks of an array that another share is to run."""
 
     start: int
@@ -52,7 +52,7 @@
     spec: Submission
 
 
-class GivenMachine(msgspec.Struct, frozen=True, array_like=True):
+class TransferredMachine(msgspec.Struct, frozen=True, array_like=True):
     """A machine without any task, and what its new holder must know."""
 
     name: str
@@ -66,21 +66,31 @@
     """The highest that its worker may have seen."""
 
 
-class Ask(msgspec.Struct, frozen=True, tag="ask"):
+class PartitionRequest(
+    msgspec.Struct,
+    frozen=True,
+    tag="ask",
+    rename={
+        "shard": "share",
+        "partitions": "portions",
+        "cancelled": "called_off",
+        "status_of": "wanted",
+    },
+):
     """About jobs of which the asked share runs a portion; may be repeated at will."""
 
-    share: int
-    portions: list[Portion] = []
+    shard: int
+    partitions: list[ArrayPartition] = []
     """To be taken, if they are not known yet."""
-    called_off: list[str] = []
+    cancelled: list[str] = []
     """Jobs whose portion is to end for good, whether it has come or not."""
-    wanted: list[str] = []
+    status_of: list[str] = []
     """Jobs whose portion's progress is to be told."""
-    machines: list[GivenMachine] = []
+    machines: list[TransferredMachine] = []
     """Machines that were handed on to the asked share."""
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True):
+class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
     """How a portion stands. All of it is durable."""
 
     id: str
@@ -92,13 +102,13 @@
     running: int = 0
 
 
-class Told(msgspec.Struct, frozen=True, tag="told"):
-    standings: list[Standing]
+class PartitionReply(msgspec.Struct, frozen=True, tag="told", rename={"statuses": "standings"}):
+    statuses: list[PartitionStatus]
     machines: list[str] = []
     """Those of the machines handed on that are this share's by now, or were."""
 
 
-class MachineNow(msgspec.Struct, frozen=True, array_like=True):
+class MachineSummary(msgspec.Struct, frozen=True, array_like=True):
     """A machine as its share's holder sees it."""
 
     name: str
@@ -109,7 +119,7 @@
     idle: bool
 
 
-class NeedNow(msgspec.Struct, frozen=True, array_like=True):
+class UnmetNeed(msgspec.Struct, frozen=True, array_like=True):
     """Work that no machine of the share can ever take."""
 
     cpus: float
@@ -121,18 +131,29 @@
     zones: list[str]
 
 
-class Digest(msgspec.Struct, frozen=True, tag="digest"):
+class ShardSummary(
+    msgspec.Struct,
+    frozen=True,
+    tag="digest",
+    rename={
+        "shard": "share",
+        "fencing_token": "token",
+        "capacity_needed": "sums",
+        "unplaceable": "needs",
+        "shortages": "lacking",
+    },
+):
     """What the leader must know of a share in order to rent for it."""
 
-    share: int
-    token: int
+    shard: int
+    fencing_token: int
     seq: int
-    machines: list[MachineNow]
+    machines: list[MachineSummary]
     """Those of which something has changed since the last one."""
-    sums: list[list[list[float]]]
+    capacity_needed: list[list[list[float]]]
     """By pool, without and with GPUs: CPUs, GPUs and GB needed in all, and without spot."""
-    needs: list[NeedNow]
-    lacking: list[NeedNow]
+    unplaceable: list[UnmetNeed]
+    shortages: list[UnmetNeed]
     """Work that finds no room right now."""
     evicted: list[tuple[str, str]]
     """Spot markets, as (type, zone), that took a machine back."""
@@ -140,43 +161,53 @@
     waiting: int = 0
 
 
-class Plan(msgspec.Struct, frozen=True, tag="plan"):
+class FleetPlan(
+    msgspec.Struct,
+    frozen=True,
+    tag="plan",
+    rename={
+        "fencing_token": "token",
+        "return_machines": "give_back",
+        "on_demand_spare": "spare",
+        "transfers": "hand_on",
+    },
+):
     """The leader's answer to a digest."""
 
-    token: int
+    fencing_token: int
     types: list[MachineType]
-    give_back: list[str]
+    return_machines: list[str]
     """Idle machines that are not needed any more."""
-    spare: float
+    on_demand_spare: float
     """Steady capacity of this share that is not needed, in steady machines."""
-    hand_on: list[tuple[str, int]] = []
+    transfers: list[tuple[str, int]] = []
     """Idle machines that other shares need more: name and share."""
 
 
-Message = Ask | Digest
-Answer = Told | Plan
+ShardRequest = PartitionRequest | ShardSummary
+ShardReply = PartitionReply | FleetPlan
 
 
-class ShareCall(msgspec.Struct, frozen=True):
-    to: int
-    message: Message
+class ShardCall(msgspec.Struct, frozen=True, rename={"target_shard": "to"}):
+    target_shard: int
+    message: ShardRequest
 
 
-_call = msgspec.msgpack.Decoder(ShareCall)
-_answer: msgspec.msgpack.Decoder[Answer] = msgspec.msgpack.Decoder(Answer)
+_call = msgspec.msgpack.Decoder(ShardCall)
+_answer: msgspec.msgpack.Decoder[ShardReply] = msgspec.msgpack.Decoder(ShardReply)
 
 
-def decode_call(body: bytes) -> ShareCall:
+def decode_call(body: bytes) -> ShardCall:
     return decode_as(_call, body)
 
 
-def decode_answer(body: bytes) -> Answer:
+def decode_answer(body: bytes) -> ShardReply:
     return decode_as(_answer, body)
 
 
-def map_value(value: Any) -> MapValue:
+def decode_shard_map(value: Any) -> ShardMapValue:
     """The map as it stands in the state service; ProtocolError if it is none."""
     try:
-        return msgspec.convert(value, MapValue)
+        return msgspec.convert(value, ShardMapValue)
     except msgspec.ValidationError as error:
         raise ProtocolError(400, f"map of shares: {error}") from None
--- a/appleshift/protocol/users.py
+++ b/appleshift/protocol/users.py
@@ -52,6 +52,7 @@
         "checkpoint_s": "snapshot_every_s",
         "save_s": "snapshot_cost_s",
         "deadline_s": "due_s",
+        "counted_resources": "seats",
     },
 ):
     """A job as its user describes it."""
@@ -76,7 +77,7 @@
     types: Annotated[list[Name], msgspec.Meta(max_length=1000)] | None = None
     zone: Name | None = None
     deadline_s: Amount | None = None
-    seats: Any = None
+    counted_resources: Any = None
     """Counted resources: name -> count for each task. Read only where such
     resources are defined (``protocol/counted_resources.py``); elsewhere it is ignored like
     any unknown field, however malformed."""
--- a/appleshift/protocol/workers.py
+++ b/appleshift/protocol/workers.py
@@ -117,11 +117,13 @@
     return {"baton": fencing_token, "orders": commands}
 
 
-def direct(token: int, session: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+def direct_command_body(
+    fencing_token: int, agent_epoch: int, commands: list[dict[str, Any]]
+) -> dict[str, Any]:
     """Body of a direct command."""
-    return {"baton": token, "shift": session, "orders": commands}
+    return {"baton": fencing_token, "shift": agent_epoch, "orders": commands}
 
 
-def redirect(leader: str | None) -> dict[str, Any]:
+def redirect_body(leader: str | None) -> dict[str, Any]:
     """Sends a worker to the leader; an unknown leader is left out."""
     return {} if leader is None else {"foreman": leader}
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -29,9 +29,9 @@
     def __init__(self, fleet: FleetView) -> None:
         self.fleet = fleet
         self.cluster = fleet.cluster
-        self.started = fleet.core.now
+        self.started = fleet.scheduler.now
         self.draining_machine: Machine | None = None
-        self.next_look = fleet.core.now
+        self.next_look = fleet.scheduler.now
 
     def step(self, now: float) -> None:
         machine = self.draining_machine
@@ -119,5 +119,5 @@
             if not (run.job.service and settled and run.stop_grace_s is None):
                 continue
             if self._room_elsewhere(machine, [run], now):
-                self.fleet.core.stop_run(run, 0.0, "move")
+                self.fleet.scheduler.stop_run(run, 0.0, "move")
                 moving += 1
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -83,7 +83,7 @@
         """R, and the part of it that may not use spot machines, over all shares."""
         steady = self.fleet.cluster.types[self.on_demand_type]
         total, fixed = self.needed_capacity(now)
-        sharing = self.fleet.core.sharding
+        sharing = self.fleet.scheduler.sharding
         if sharing is not None:
             total, fixed = sharing.needed_capacity(self.gpus, (total, fixed))
 
@@ -101,7 +101,7 @@
         if self.on_demand_type < 0:
             return total, fixed
         steady = cluster.types[self.on_demand_type]
-        seats = self.fleet.core.counted_resources
+        seats = self.fleet.scheduler.counted_resources
         caps = seats.capped_tasks(cluster.jobs.values()) if seats is not None else {}
         for job in cluster.jobs.values():
             spec = job.spec
@@ -238,7 +238,7 @@
 
     def _capacity(self, spot: bool) -> float:
         """Capacity there is or will be; boots that are late no longer count."""
-        cluster, now = self.fleet.cluster, self.fleet.core.now
+        cluster, now = self.fleet.cluster, self.fleet.scheduler.now
         total = 0.0
         for machine in self.machines:
             kind = cluster.types[machine.type]
@@ -310,7 +310,7 @@
         )
         for kind, zone, spot, count in fleet.pending_rentals.values():
             coming[kind, zone, spot] += count
-        sharing = fleet.core.sharding
+        sharing = fleet.scheduler.sharding
         others = [] if sharing is None else sharing.unplaceable_needs(self.gpus)
         for need in [*self.unplaceable_needs(), *others]:
             missing = need.tasks
@@ -406,7 +406,7 @@
     def _scale_in(self, plan: CapacityPlan, required: float, fixed: float, now: float) -> None:
         """Return idle machines that the plan does without, the dearest first."""
         fleet, cluster = self.fleet, self.fleet.cluster
-        sharing = fleet.core.sharding
+        sharing = fleet.scheduler.sharding
         fleet.on_demand_spare[self.gpus] = 0.0
         if fleet.pending_rentals or any(s.job.spec.gpus > 0 for s in fleet.shortages if self.gpus):
             return
@@ -448,6 +448,8 @@
             fleet.on_demand_spare[self.gpus] = self._capacity(False) - needed
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
-        fleet.core.delete_machines([machine for machine in leaving if not machine.in_other_shard])
+        fleet.scheduler.delete_machines(
+            [machine for machine in leaving if not machine.in_other_shard]
+        )
         if sharing is not None:
             sharing.return_machines([machine for machine in leaving if machine.in_other_shard])
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -21,7 +21,7 @@
     """Rent for capacity that is missing, in steady machines of a type without cards, once
     no market without cards has any."""
     cluster = fleet.cluster
-    if fleet.core.sharding is not None or not cluster.spot_gpus_unclaimed():
+    if fleet.scheduler.sharding is not None or not cluster.spot_gpus_unclaimed():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
     if not any(job.spec.spot and may_run_beside_gpus(job) for job in jobs):
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -33,11 +33,11 @@
     is_stalled: bool
     draining: bool
 
-    def reply(self, slot: Any, status: int, body: Any, retry_after: int = 0) -> None: ...
+    def reply(self, reply_to: Any, status: int, body: Any, retry_after: int = 0) -> None: ...
 
-    def reply_durable(self, slot: Any, status: int, body: Any) -> None: ...
+    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None: ...
 
-    def reply_unavailable(self, slot: Any) -> None: ...
+    def reply_unavailable(self, reply_to: Any) -> None: ...
 
     def job_arrived(self, spec: Submission) -> None: ...
 
@@ -47,107 +47,109 @@
 class JobRequests:
     """Users' requests, answered from the tables."""
 
-    def __init__(self, core: ReplyingScheduler) -> None:
-        self._core = core
-        self._cluster = core.cluster
+    def __init__(self, scheduler: ReplyingScheduler) -> None:
+        self._scheduler = scheduler
+        self._cluster = scheduler.cluster
         self._first_submission_logged = False
 
     def _reply_if_final(
-        self, job_id: str, slot: Any, body: Callable[[str, str], dict[str, Any]]
+        self, job_id: str, reply_to: Any, body: Callable[[str, str], dict[str, Any]]
     ) -> bool:
         """Answer from what is over, or say which share decides for the job."""
         final = self._cluster.final_states.get(job_id)
         if final is None:
             return False
         if final >= FORWARDED:
-            self._core.reply(slot, 421, {"share": final - FORWARDED})
+            self._scheduler.reply(reply_to, 421, {"share": final - FORWARDED})
         else:
-            self._core.reply(slot, 200, body(job_id, FINAL_NAMES[final]))
+            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_NAMES[final]))
         return True
 
-    def submit(self, spec: Submission, slot: Any, wall: float, homed: bool = False) -> None:
-        core, cluster = self._core, self._cluster
-        if self._reply_if_final(spec.id, slot, users.state_body):
+    def submit(self, spec: Submission, reply_to: Any, wall: float, homed: bool = False) -> None:
+        scheduler, cluster = self._scheduler, self._cluster
+        if self._reply_if_final(spec.id, reply_to, users.state_body):
             return
-        if not core.lease.may_answer(core.now):
-            core.reply_unavailable(slot)
+        if not scheduler.lease.may_answer(scheduler.now):
+            scheduler.reply_unavailable(reply_to)
             return
         known = cluster.job_by_id.get(spec.id)
         if known is not None:
             if known.accepted:
-                core.reply(slot, 200, users.state_body(spec.id, self.state(known)))
+                scheduler.reply(reply_to, 200, users.state_body(spec.id, self.state(known)))
             else:
-                self._reply_unless_stalled(slot, 200, users.state_body(spec.id, users.PENDING))
+                self._reply_unless_stalled(reply_to, 200, users.state_body(spec.id, users.PENDING))
             return
-        wrong = rejection(cluster, spec, core.counted_resources)
+        wrong = rejection(cluster, spec, scheduler.counted_resources)
         if wrong is not None:
             # Also in an outage: nothing has to be written to refuse it.
-            core.reply(slot, wrong[0], users.error_body(wrong[1]), 1 if wrong[0] == 503 else 0)
+            scheduler.reply(
+                reply_to, wrong[0], users.error_body(wrong[1]), 1 if wrong[0] == 503 else 0
+            )
             return
         if not self._can_write():
-            core.reply_unavailable(slot)
+            scheduler.reply_unavailable(reply_to)
             return
-        if core.sharding is not None and not homed:
-            if not core.sharding.is_home(spec.id):
+        if scheduler.sharding is not None and not homed:
+            if not scheduler.sharding.is_home(spec.id):
                 # Sent by a node that goes by an older map.
-                core.reply_unavailable(slot)
+                scheduler.reply_unavailable(reply_to)
                 return
-            share = core.sharding.deciding_shard(spec)
-            if share != core.sharding.shard:
-                self._forward_to_shard(spec, share, slot)
+            share = scheduler.sharding.deciding_shard(spec)
+            if share != scheduler.sharding.shard:
+                self._forward_to_shard(spec, share, reply_to)
                 return
-        if core.counted_resources is None and spec.seats is not None:
-            spec = msgspec.structs.replace(spec, seats=None)
+        if scheduler.counted_resources is None and spec.counted_resources is not None:
+            spec = msgspec.structs.replace(spec, counted_resources=None)
         job = cluster.add_job(cluster.next_job_index, spec, wall)
         record = records.job_record(job)
-        if not core.log.fits(record):
+        if not scheduler.write_ahead_log.fits(record):
             cluster.jobs.pop(job.index)
             cluster.job_by_id.pop(spec.id)
-            core.reply(slot, 400, users.error_body("description too large"))
+            scheduler.reply(reply_to, 400, users.error_body("description too large"))
             return
 
         def accepted() -> None:
             job.accepted = True
-            core.placement_needed = True
+            scheduler.placement_needed = True
             if not self._first_submission_logged:
                 self._first_submission_logged = True
                 log.info("first submission of this term is durable")
 
         written = [record]
-        if core.sharding is not None:
-            written += core.sharding.partition_array(job)
-        core.append_records(written, accepted)
-        core.reply_durable(slot, 201, users.state_body(spec.id, users.PENDING))
-        core.job_arrived(spec)
+        if scheduler.sharding is not None:
+            written += scheduler.sharding.partition_array(job)
+        scheduler.append_records(written, accepted)
+        scheduler.reply_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
+        scheduler.job_arrived(spec)
 
-    def _forward_to_shard(self, spec: Submission, share: int, slot: Any) -> None:
+    def _forward_to_shard(self, spec: Submission, share: int, reply_to: Any) -> None:
         """Another share decides for this job: written down here, where its id leads.
 
         Only then may that share be asked, or two might take the same job.
         """
-        core, cluster = self._core, self._cluster
+        scheduler, cluster = self._scheduler, self._cluster
         final = FORWARDED + share
 
         def durable() -> None:
             cluster.final_states[spec.id] = final
 
-        core.append_records([records.final_state_record(spec.id, final)], durable)
-        core.unsaved_final_states.append((spec.id, final))
-        core.reply_durable(slot, 421, {"share": share})
+        scheduler.append_records([records.final_state_record(spec.id, final)], durable)
+        scheduler.unsaved_final_states.append((spec.id, final))
+        scheduler.reply_durable(reply_to, 421, {"share": share})
 
     def _can_write(self) -> bool:
-        core = self._core
+        scheduler = self._scheduler
         return (
-            not (core.is_stalled or core.draining)
-            and core.lease.may_write(core.now)
-            and core.log.lag_s() < MAX_LAG_S
+            not (scheduler.is_stalled or scheduler.draining)
+            and scheduler.lease.may_write(scheduler.now)
+            and scheduler.write_ahead_log.lag_s() < MAX_LAG_S
         )
 
-    def _reply_unless_stalled(self, slot: Any, status: int, body: dict[str, Any]) -> None:
-        if self._core.is_stalled:
-            self._core.reply_unavailable(slot)
+    def _reply_unless_stalled(self, reply_to: Any, status: int, body: dict[str, Any]) -> None:
+        if self._scheduler.is_stalled:
+            self._scheduler.reply_unavailable(reply_to)
         else:
-            self._core.reply_durable(slot, status, body)
+            self._scheduler.reply_durable(reply_to, status, body)
 
     def state(self, job: Job) -> str:
         """What users may be told: only what is durable."""
@@ -175,54 +177,56 @@
             return None
         return self._final_state(job) or users.PENDING
 
-    def _reply_unknown_job(self, job_id: str, slot: Any, homed: bool, map_version: int) -> None:
+    def _reply_unknown_job(self, job_id: str, reply_to: Any, homed: bool, map_version: int) -> None:
         """No such job here. Only if it was asked for by the map in force, or sent on
         from where its id leads, does that mean that there is none: nodes that knew of
         no map yet, or of an older one, once told users that their jobs were unknown."""
-        sharing = self._core.sharding
+        sharing = self._scheduler.sharding
         if sharing is None or homed or sharing.is_current_map(job_id, map_version):
-            self._core.reply(slot, 404, users.error_body("no such job"))
+            self._scheduler.reply(reply_to, 404, users.error_body("no such job"))
         else:
-            self._core.reply_unavailable(slot)
+            self._scheduler.reply_unavailable(reply_to)
 
-    def status(self, job_id: str, slot: Any, homed: bool = False, map_version: int = 0) -> None:
-        core = self._core
-        if self._reply_if_final(job_id, slot, users.status_body):
+    def status(self, job_id: str, reply_to: Any, homed: bool = False, map_version: int = 0) -> None:
+        scheduler = self._scheduler
+        if self._reply_if_final(job_id, reply_to, users.status_body):
             return
         job = self._cluster.job_by_id.get(job_id)
         if job is not None and (job.done_durable or job.cancel_durable):
             pass
-        elif not core.lease.may_answer(core.now):
-            core.reply_unavailable(slot)
+        elif not scheduler.lease.may_answer(scheduler.now):
+            scheduler.reply_unavailable(reply_to)
             return
         if job is None:
-            self._reply_unknown_job(job_id, slot, homed, map_version)
+            self._reply_unknown_job(job_id, reply_to, homed, map_version)
         elif not job.accepted:
-            core.reply_unavailable(slot)
+            scheduler.reply_unavailable(reply_to)
         else:
             body = users.status_body(job_id, self.state(job), job.done_count, job.running())
-            core.reply(slot, 200, body)
+            scheduler.reply(reply_to, 200, body)
 
-    def cancel(self, job_id: str, slot: Any, homed: bool = False, map_version: int = 0) -> None:
-        core = self._core
-        if self._reply_if_final(job_id, slot, users.state_body):
+    def cancel(self, job_id: str, reply_to: Any, homed: bool = False, map_version: int = 0) -> None:
+        scheduler = self._scheduler
+        if self._reply_if_final(job_id, reply_to, users.state_body):
             return
-        if not core.lease.may_answer(core.now):
-            core.reply_unavailable(slot)
+        if not scheduler.lease.may_answer(scheduler.now):
+            scheduler.reply_unavailable(reply_to)
             return
         job = self._cluster.job_by_id.get(job_id)
         if job is None:
-            self._reply_unknown_job(job_id, slot, homed, map_version)
+            self._reply_unknown_job(job_id, reply_to, homed, map_version)
             return
         if not self._can_write():
-            core.reply_unavailable(slot)
+            scheduler.reply_unavailable(reply_to)
             return
         apart = job.remote_tasks and job.status == OPEN
-        if core.sharding is not None and (apart or job.cancel_requested):
+        if scheduler.sharding is not None and (apart or job.cancel_requested):
             # Users are told once every share that has a portion has ended it.
-            core.sharding.cancel_partitioned(job, slot)
+            scheduler.sharding.cancel_partitioned(job, reply_to)
             return
         if job.status == OPEN:
             job.status = CANCELLED
-            core.log.append(records.cancel_record(job), lambda: core.job_cancelled(job))
-        core.reply_durable(slot, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
+            scheduler.write_ahead_log.append(
+                records.cancel_record(job), lambda: scheduler.job_cancelled(job)
+            )
+        scheduler.reply_durable(reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -78,8 +78,8 @@
         operator: OperatorSettings,
         authority: LeaseHolder,
         token: int,
-        replay: LogReplayer,
-        journal: WriteAheadLog,
+        replayer: LogReplayer,
+        write_ahead_log: WriteAheadLog,
         clock: Callable[[], float],
         wall: float,
         seats: CountedResources | None = None,
@@ -89,8 +89,8 @@
         self.operator = operator
         self.lease = authority
         self.fencing_token = token
-        self.cluster: ClusterState = replay.cluster
-        self.log = journal
+        self.cluster: ClusterState = replayer.cluster
+        self.write_ahead_log = write_ahead_log
         self.counted_resources = seats
         self.sharding = sharing
         # About to be handed over: nothing new is accepted or started.
@@ -106,7 +106,7 @@
         self.next_tick = now
         self._placing = TimeBudget(clock, PLACEMENT_TIME_SHARE)
         self._ticking = TimeBudget(clock, TICK_TIME_SHARE)
-        self.unsaved_final_states = list(replay.unsaved_final_states)
+        self.unsaved_final_states = list(replayer.unsaved_final_states)
         self.worker_lease_s = settings.deployment.workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         self.commands = WorkerCommands(self)
         self.objectives = Objectives(settings.deployment.objectives)
@@ -115,18 +115,18 @@
         self._waiting_replies: dict[int, Any] = {}
         self.is_stalled = False
         self.liveness = MachineLiveness(self)
-        self.fleet = Fleet(self, replay.groups)
+        self.fleet = Fleet(self, replayer.groups)
         self.job_requests = JobRequests(self)
         if sharing is not None:
             sharing.attach(self)
-        self._restore(replay, wall)
+        self._restore(replayer, wall)
 
-    def _restore(self, replay: LogReplayer, wall: float) -> None:
+    def _restore(self, replayer: LogReplayer, wall: float) -> None:
         """Known assignments stay where they are until there is proof."""
         cluster = self.cluster
         if self.counted_resources is not None:
             self.counted_resources.begin_recovery()
-        for (index, task), (attempt, name, session) in replay.task_locations.items():
+        for (index, task), (attempt, name, agent_epoch) in replayer.task_locations.items():
             job = cluster.jobs.get(index)
             machine = cluster.machine(name)
             if job is None or job.done[task]:
@@ -134,13 +134,13 @@
             if machine is None:
                 # Its deletion was written down: the task went with it.
                 continue
-            machine.agent_epoch = max(machine.agent_epoch, session)
-            run = cluster.assign(job, task, attempt, machine, session)
+            machine.agent_epoch = max(machine.agent_epoch, agent_epoch)
+            run = cluster.assign(job, task, attempt, machine, agent_epoch)
             run.assignment_durable = run.start_sent = True
             run.ordered_this_term = False
         if self.counted_resources is not None:
             self.counted_resources.end_recovery()
-        for submitted, spec in sorted(replay.arrivals, key=lambda entry: entry[0]):
+        for submitted, spec in sorted(replayer.arrivals, key=lambda entry: entry[0]):
             # What arrived under the leader before still says how much comes.
             self.fleet.job_arrived(spec, self.now - max(0.0, wall - submitted))
         for machine in cluster.machines.values():
@@ -156,27 +156,27 @@
 
     # -- small helpers --------------------------------------------------------
 
-    def reply(self, slot: Any, status: int, body: Any, retry_after: int = 0) -> None:
-        if slot is not None:
-            self._waiting_replies.pop(id(slot), None)
-            self.actions.append(Reply(slot, status, body, retry_after))
+    def reply(self, reply_to: Any, status: int, body: Any, retry_after: int = 0) -> None:
+        if reply_to is not None:
+            self._waiting_replies.pop(id(reply_to), None)
+            self.actions.append(Reply(reply_to, status, body, retry_after))
 
-    def hold_reply(self, slot: Any) -> None:
+    def hold_reply(self, reply_to: Any) -> None:
         """Whoever waits there is answered later, by ``settle`` or because all stalls."""
-        self._waiting_replies[id(slot)] = slot
+        self._waiting_replies[id(reply_to)] = reply_to
 
-    def answer_held(self, slot: Any, status: int, body: Any) -> None:
-        if self._waiting_replies.get(id(slot)) is slot:
-            self.reply(slot, status, body)
+    def answer_held(self, reply_to: Any, status: int, body: Any) -> None:
+        if self._waiting_replies.get(id(reply_to)) is reply_to:
+            self.reply(reply_to, status, body)
 
-    def reply_durable(self, slot: Any, status: int, body: Any) -> None:
+    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer once all that is written so far is durable, unless that stalls."""
-        self.hold_reply(slot)
-        self.log.append(None, lambda: self.answer_held(slot, status, body))
+        self.hold_reply(reply_to)
+        self.write_ahead_log.append(None, lambda: self.answer_held(reply_to, status, body))
 
     def commit_succeeded(self, revision: int) -> None:
         self.is_stalled = False
-        self.log.committed(revision)
+        self.write_ahead_log.committed(revision)
 
     def commit_stalled(self) -> None:
         """The state service does not take writes: nobody is kept waiting for it.
@@ -185,22 +185,22 @@
         learns so.
         """
         self.is_stalled = True
-        for slot in list(self._waiting_replies.values()):
-            self.reply_unavailable(slot)
+        for reply_to in list(self._waiting_replies.values()):
+            self.reply_unavailable(reply_to)
 
     def end_term(self) -> None:
         """The term is over: whoever waits is told to ask again."""
-        for slot in list(self._waiting_replies.values()):
-            self.reply_unavailable(slot)
+        for reply_to in list(self._waiting_replies.values()):
+            self.reply_unavailable(reply_to)
 
-    def reply_unavailable(self, slot: Any) -> None:
-        self.reply(slot, 503, users.error_body("not available right now"), 1)
+    def reply_unavailable(self, reply_to: Any) -> None:
+        self.reply(reply_to, 503, users.error_body("not available right now"), 1)
 
     def append_records(self, some: list[Record], then: Callable[[], None] | None = None) -> None:
         """Append records; ``then`` runs once all of them are durable."""
         for record in some[:-1]:
-            self.log.append(record)
-        self.log.append(some[-1] if some else None, then)
+            self.write_ahead_log.append(record)
+        self.write_ahead_log.append(some[-1] if some else None, then)
 
     def take_actions(self) -> list[Action]:
         taken = list(self.actions)
@@ -228,7 +228,7 @@
             return
         if not (job.done_durable or job.cancel_durable):
             return
-        self.log.append(records.end_record(job))
+        self.write_ahead_log.append(records.end_record(job))
         self.unsaved_final_states.append((job.key, job.status))
         self.cluster.retire(job)
 
@@ -315,7 +315,7 @@
     # -- workers ------------------------------------------------------------------
 
     def heartbeat_received(
-        self, heartbeat: Heartbeat, slot: Any, tasks: bytes | None = None
+        self, heartbeat: Heartbeat, reply_to: Any, tasks: bytes | None = None
     ) -> None:
         """A worker reports: take it in, renew its lease, give it its orders.
 
@@ -323,22 +323,22 @@
         say the same.
         """
         if not self.lease.may_answer(self.now):
-            self.reply(slot, 503, users.error_body("not leading"))
+            self.reply(reply_to, 503, users.error_body("not leading"))
             return
         given = self.cluster.handed_off.get(heartbeat.machine)
         if given is not None:
-            self.reply(slot, 421, {"share": given.shard})
+            self.reply(reply_to, 421, {"share": given.shard})
             return
         known = self.cluster.machine(heartbeat.machine)
         if heartbeat.fencing_token > (
             self.fencing_token if known is None else self.fencing_token_for(known)
         ):
             # Somebody was elected after us, whatever our clock says.
-            self.reply(slot, 421, workers.redirect(None))
+            self.reply(reply_to, 421, workers.redirect_body(None))
             return
         machine = self._machine_of(heartbeat)
         if machine is None or machine.in_other_shard or heartbeat.agent_epoch < machine.agent_epoch:
-            self.reply(slot, 503, users.error_body("machine not known here"))
+            self.reply(reply_to, 503, users.error_body("machine not known here"))
             return
         token = self.fencing_token_for(machine)
         self.liveness.apply_fast_path(machine)
@@ -346,7 +346,9 @@
             # A copy, or the original after its copy: the lease that its answer may renew
             # was counted with the first one. Whoever renews it tells what has to end.
             self.reply(
-                slot, 200, workers.heartbeat_response(token, self.commands.stop_commands(machine))
+                reply_to,
+                200,
+                workers.heartbeat_response(token, self.commands.stop_commands(machine)),
             )
             return
         self.reconcile(machine, heartbeat)
@@ -355,7 +357,7 @@
         machine.lease_until = self.now + self.worker_lease_s
         commands = self.commands.for_heartbeat(machine)
         answer = workers.heartbeat_response(token, commands)
-        self.reply(slot, 200, answer)
+        self.reply(reply_to, 200, answer)
         newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
         if tasks is not None and newest and not commands and machine.needs_no_commands():
             same = (machine.agent_epoch, token, tasks, encode(answer))
@@ -371,10 +373,10 @@
         """
         return max(self.fencing_token, machine.min_fencing_token)
 
-    def _machine_of(self, report: Heartbeat) -> Machine | None:
-        machine = self.cluster.machine(report.machine)
+    def _machine_of(self, heartbeat: Heartbeat) -> Machine | None:
+        machine = self.cluster.machine(heartbeat.machine)
         if machine is None:
-            machine = self.fleet.adopt(report)
+            machine = self.fleet.adopt(heartbeat)
         return machine
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None:
@@ -554,12 +556,17 @@
         self._maybe_snapshot()
 
     def _maybe_snapshot(self) -> None:
-        journal = self.log
-        if journal.snapshotting or journal.log_bytes < self.operator.snapshot_kb * 1024:
+        write_ahead_log = self.write_ahead_log
+        if (
+            write_ahead_log.snapshotting
+            or write_ahead_log.log_bytes < self.operator.snapshot_kb * 1024
+        ):
             return
         if self.now - self.started < SNAPSHOT_AFTER_S:
             return
-        if journal.lag_s() > MAX_LOG_LAG_FOR_SNAPSHOT_S or not self.lease.may_write(self.now):
+        if write_ahead_log.lag_s() > MAX_LOG_LAG_FOR_SNAPSHOT_S or not self.lease.may_write(
+            self.now
+        ):
             return
         finals: list[list[Any]] = [list(entry) for entry in self.unsaved_final_states]
         self.unsaved_final_states = []
@@ -568,15 +575,17 @@
         live = records.live_records(self.cluster, self.fleet.spot_group_names(), counted)
         log.info("snapshot: %d records, %d ended jobs", len(live), len(finals))
         if seats is None:
-            journal.start_snapshot(live, finals)
+            write_ahead_log.start_snapshot(live, finals)
         else:
-            journal.start_snapshot(live, finals, seats.unsaved_audit_entries, seats.audit_pages)
+            write_ahead_log.start_snapshot(
+                live, finals, seats.unsaved_audit_entries, seats.audit_pages
+            )
 
     def _place(self) -> None:
         """One placement pass; starts go out once they are durable."""
         self.placement_needed = False
         self.placed_at = self.now
-        if self.log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
+        if self.write_ahead_log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
             self.placement_needed = True
             return
         workers_settings = self.settings.deployment.workers
@@ -631,7 +640,7 @@
             self.fast_path.entries.pop(name, None)
             self.fleet.machine_deleted(machine)
             if machine.addr:
-                self.log.append(records.machine_deleted_record(machine))
+                self.write_ahead_log.append(records.machine_deleted_record(machine))
         self.placement_needed = True
 
     def delete_machines(self, machines: list[Machine]) -> None:
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -54,7 +54,7 @@
 class ShardCoordination(Protocol):
     """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
 
-    def sharding_for(self, term: LeaderTerm, replay: LogReplayer) -> ShardingView | None:
+    def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> ShardingView | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
@@ -62,7 +62,7 @@
         """
         ...
 
-    def call_shard(self, effect: CallShard, term: Any) -> None: ...
+    def call_shard(self, action: CallShard, term: Any) -> None: ...
 
 
 @dataclass
@@ -93,39 +93,39 @@
 
     def __init__(
         self,
-        house: NodeContext,
+        context: NodeContext,
         share: int = 0,
         guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
         hold_back: Callable[[], float] = float,
     ) -> None:
-        self.context = house
+        self.context = context
         self.shard = share
-        routines, operator = house.runtime, house.operator
-        self.lease = LeaderLease([*house.peer_clients], operator.pledge_s, routines.now())
+        runtime, operator = context.runtime, context.operator
+        self.lease = LeaderLease([*context.peer_clients], operator.pledge_s, runtime.now())
         self.election = LeaderElection(
-            house.settings.name,
-            house.store,
-            house.peer_clients,
+            context.settings.name,
+            context.store,
+            context.peer_clients,
             self.lease,
             operator,
-            on_won=lambda term: house.post(events.ElectionWon(term)),
-            on_lost=lambda: house.post(events.LeadershipLost(share)),
-            process_mark=house.process_id if not share else f"{house.process_id}.s{share}",
-            routines=routines,
+            on_won=lambda term: context.post(events.ElectionWon(term)),
+            on_lost=lambda: context.post(events.LeadershipLost(share)),
+            process_mark=context.process_id if not share else f"{context.process_id}.s{share}",
+            runtime=runtime,
             shard=share,
             extra_guards=guards,
             # Who holds further shares is the leader's to say.
-            candidacy_delay_s=hold_back if share else lambda: house.candidacy_delay_s(),
-            process_id=house.process_id,
+            candidacy_delay_s=hold_back if share else lambda: context.candidacy_delay_s(),
+            process_id=context.process_id,
         )
         self.scheduler: Scheduler | None = None
         self.achieved_objectives: AchievedObjectives | None = None
         self.term: LeaderTerm | None = None
         self.committer = LogCommitter(
-            house.store,
-            house.post,
+            context.store,
+            context.post,
             lambda: self.term,
-            routines,
+            runtime,
             f"commit-{share}" if share else "commit",
         )
         self._draining_since: float | None = None
@@ -154,90 +154,93 @@
             self._handle_term_event(self.scheduler, event)
 
     def _handle_request(self, event: events.ApiRequest) -> None:
-        core = self.scheduler
-        if core is None:
+        scheduler = self.scheduler
+        if scheduler is None:
             event.reply_to.put((503, users.error_body("nobody holds this share yet"), 1))
             return
-        core.now = self.context.runtime.now()
+        scheduler.now = self.context.runtime.now()
         if isinstance(event, events.HeartbeatReceived):
-            core.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
+            scheduler.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
         elif isinstance(event, events.SubmitJob):
             wall = self.context.runtime.wall_time()
-            core.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
+            scheduler.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
         elif isinstance(event, events.GetJobStatus):
-            core.job_requests.status(
+            scheduler.job_requests.status(
                 event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
             )
         elif isinstance(event, events.CancelJob):
-            core.job_requests.cancel(
+            scheduler.job_requests.cancel(
                 event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
             )
         elif isinstance(event, events.GetCountedResources):
-            core.reply(
+            scheduler.reply(
                 event.reply_to,
-                *_counted_resources_reply(core.counted_resources, event.after, core.now),
+                *_counted_resources_reply(scheduler.counted_resources, event.after, scheduler.now),
             )
-        elif isinstance(event, events.ShardRequestReceived) and core.sharding is not None:
-            core.sharding.request_received(event.message, event.reply_to)
+        elif isinstance(event, events.ShardRequestReceived) and scheduler.sharding is not None:
+            scheduler.sharding.request_received(event.message, event.reply_to)
         else:
-            core.reply_unavailable(event.reply_to)
+            scheduler.reply_unavailable(event.reply_to)
 
-    def _handle_term_event(self, core: Scheduler, event: events.TermEvent) -> None:
-        core.now = self.context.runtime.now()
+    def _handle_term_event(self, scheduler: Scheduler, event: events.TermEvent) -> None:
+        scheduler.now = self.context.runtime.now()
         if isinstance(event, events.CommitSucceeded):
-            core.commit_succeeded(event.revision)
+            scheduler.commit_succeeded(event.revision)
         elif isinstance(event, events.CommandsSent):
-            core.commands.commands_sent(
+            scheduler.commands.commands_sent(
                 event.machine, event.agent_epoch, event.starts, event.outcome, event.heartbeat
             )
         elif isinstance(event, events.ProbeAnswered):
-            core.probe_answered(event.machine, event.heartbeat)
+            scheduler.probe_answered(event.machine, event.heartbeat)
         elif isinstance(event, events.CommitStalled):
-            core.commit_stalled()
+            scheduler.commit_stalled()
         elif isinstance(event, events.Fenced):
             self.end_term()
             self.election.step_down()
         elif isinstance(event, events.MachineTypesListed):
-            core.fleet.set_machine_types(event.types)
+            scheduler.fleet.set_machine_types(event.types)
         elif isinstance(event, events.MachinesListed):
-            core.fleet.machines_listed(event.machines, event.complete)
+            scheduler.fleet.machines_listed(event.machines, event.complete)
         elif isinstance(event, events.RentalAnswered):
-            core.fleet.rental_answered(event.request, event.machines, event.refused)
+            scheduler.fleet.rental_answered(event.request, event.machines, event.refused)
         elif isinstance(event, events.DeletionAnswered):
-            core.deletion_answered(event.machines, event.ok)
-        elif isinstance(event, events.ShardReplyReceived) and core.sharding is not None:
-            core.sharding.reply_received(event.target_shard, event.reply)
-        elif isinstance(event, events.LicenseServerAnswered) and core.counted_resources is not None:
-            told = core.counted_resources.license_server_answered(
-                event.resource, event.serial, event.reply, core.now
+            scheduler.deletion_answered(event.machines, event.ok)
+        elif isinstance(event, events.ShardReplyReceived) and scheduler.sharding is not None:
+            scheduler.sharding.reply_received(event.target_shard, event.reply)
+        elif (
+            isinstance(event, events.LicenseServerAnswered)
+            and scheduler.counted_resources is not None
+        ):
+            told = scheduler.counted_resources.license_server_answered(
+                event.resource, event.serial, event.reply, scheduler.now
             )
-            core.placement_needed = told or core.placement_needed
+            scheduler.placement_needed = told or scheduler.placement_needed
 
     # -- what it decides ------------------------------------------------------------
 
     def is_busy(self) -> bool:
         return self.scheduler is not None and (
-            self.scheduler.placement_needed or self.scheduler.log.backlog() > 0
+            self.scheduler.placement_needed or self.scheduler.write_ahead_log.backlog() > 0
         )
 
     def run_round(self) -> None:
-        core, routines = self.scheduler, self.context.runtime
-        if core is None:
+        scheduler, runtime = self.scheduler, self.context.runtime
+        if scheduler is None:
             return
-        now = routines.now()
-        core.step(now, routines.wall_time())
+        now = runtime.now()
+        scheduler.step(now, runtime.wall_time())
         if self.achieved_objectives is not None:
-            self.achieved_objectives.step(now, routines.wall_time())
+            self.achieved_objectives.step(now, runtime.wall_time())
         if self.lease.may_write(now):
-            txn = core.log.next_transaction(now)
+            txn = scheduler.write_ahead_log.next_transaction(now)
             if txn is not None:
                 self.committer.send(txn, self.term)
-        if core.counted_resources is not None and self.lease.may_answer(now):
-            self._call_license_servers(core.counted_resources, now)
-        for effect in core.take_actions():
-            self._execute(core, effect)
+        if scheduler.counted_resources is not None and self.lease.may_answer(now):
+            self._call_license_servers(scheduler.counted_resources, now)
+        for action in scheduler.take_actions():
+            self._execute(scheduler, action)
         if self._draining_since is not None and (
-            core.log.is_idle() or now - self._draining_since > DRAIN_S
+            scheduler.write_ahead_log.is_idle() or now - self._draining_since > DRAIN_S
         ):
             self._draining_since = None
             self.election.hand_over()
@@ -254,53 +257,55 @@
         return lambda: self.term is term and self.lease.may_answer(self.context.runtime.now())
 
     def _call_license_servers(self, seats: CountedResources, now: float) -> None:
-        house = self.context
+        context = self.context
         for ask in seats.reservation_requests(now):
-            if house.license_servers is None:
+            if context.license_servers is None:
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
-                house.license_servers = LicenseServerCalls(
-                    house.post,
-                    house.connect,
-                    house.runtime,
-                    lambda: self.lease.may_answer(house.routines.now()),
+                context.license_servers = LicenseServerCalls(
+                    context.post,
+                    context.connect,
+                    context.runtime,
+                    lambda: self.lease.may_answer(context.runtime.now()),
                 )
-            house.license_servers.send(ask, self.term)
-
-    def _execute(self, core: Scheduler, effect: Action) -> None:
-        house, term = self.context, self.term
-        if isinstance(effect, Reply):
-            effect.reply_to.put((effect.status, effect.body, effect.retry_after))
-        elif isinstance(effect, SendCommands):
-            house.workers.send_commands(effect, term)
-        elif isinstance(effect, ProbeMachine):
-            house.workers.probe(effect, term)
-        elif isinstance(effect, RentMachines):
-            house.cloud.rent(effect, term, self._is_entitled(term))
-        elif isinstance(effect, DeleteMachines):
-            house.cloud.delete(effect, term, self._is_entitled(term))
-        elif isinstance(effect, CallShard) and house.shard_map_follower is not None:
-            house.shard_map_follower.call_shard(effect, term)
+            context.license_servers.send(ask, self.term)
+
+    def _execute(self, scheduler: Scheduler, action: Action) -> None:
+        context, term = self.context, self.term
+        if isinstance(action, Reply):
+            action.reply_to.put((action.status, action.body, action.retry_after))
+        elif isinstance(action, SendCommands):
+            context.workers.send_commands(action, term)
+        elif isinstance(action, ProbeMachine):
+            context.workers.probe(action, term)
+        elif isinstance(action, RentMachines):
+            context.cloud.rent(action, term, self._is_entitled(term))
+        elif isinstance(action, DeleteMachines):
+            context.cloud.delete(action, term, self._is_entitled(term))
+        elif isinstance(action, CallShard) and context.shard_map_follower is not None:
+            context.shard_map_follower.call_shard(action, term)
 
     # -- terms --------------------------------------------------------------------------
 
     def _begin_term(self, term: LeaderTerm) -> None:
         """Recover what is durable; only then does anyone get an answer."""
-        house = self.context
-        deployment = house.settings.deployment
-        began = house.runtime.now()
+        context = self.context
+        deployment = context.settings.deployment
+        began = context.runtime.now()
         prefix = shard_prefix(self.shard)
         while True:
-            if house.stop.is_set() or not self.lease.is_leader:
+            if context.stop.is_set() or not self.lease.is_leader:
                 return
             if self.lease.fencing_token != term.fencing_token:
                 return
-            replay = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_audit_log)
+            replayer = LogReplayer(
+                ClusterState(deployment.zones, deployment.teams), _make_audit_log
+            )
             try:
-                recovered = recover(house.store, replay, prefix)
+                recovered = recover(context.store, replayer, prefix)
                 sharing = None
-                if house.shard_map_follower is not None:
-                    sharing = house.shard_map_follower.sharding_for(term, replay)
+                if context.shard_map_follower is not None:
+                    sharing = context.shard_map_follower.sharding_for(term, replayer)
                 break
             except CompareFailedError as error:
                 log.info("deposed in recovery: guards failed on %s", error)
@@ -308,15 +313,15 @@
                 return
             except (StoreError, ClientError, ProtocolError) as error:
                 log.info("recovery: %s", error)
-                house.stop.wait(0.2)
-        now = house.runtime.now()
+                context.stop.wait(0.2)
+        now = context.runtime.now()
         limits = deployment.state
         parts = 1 if sharing is None else sharing.shard_count
-        journal = WriteAheadLog(
+        write_ahead_log = WriteAheadLog(
             leader_key=self.election.key,
             leader_version=term.key_version,
             term_id=term.term_id,
-            write_rps=max(1.0, limits.write_rps * house.operator.write_share / parts),
+            write_rps=max(1.0, limits.write_rps * context.operator.write_share / parts),
             value_bytes=int(limits.value_kb * 1024),
             max_transaction_ops=limits.txn_ops,
             header=recovered.header,
@@ -327,98 +332,98 @@
             prefix=prefix,
             extra_guards=term.extra_guards,
         )
-        journal.remove_keys(recovered.orphaned_keys)
+        write_ahead_log.remove_keys(recovered.orphaned_keys)
         self._draining_since = None
         self.scheduler = Scheduler(
-            house.settings,
-            house.operator,
+            context.settings,
+            context.operator,
             self.lease,
             term.fencing_token,
-            replay,
-            journal,
-            house.runtime.now,
-            house.runtime.wall_time(),
-            self._counted_resources(replay, journal, term),
+            replayer,
+            write_ahead_log,
+            context.runtime.now,
+            context.runtime.wall_time(),
+            self._counted_resources(replayer, write_ahead_log, term),
             sharing,
         )
         self.achieved_objectives = AchievedObjectives(
-            self.scheduler.cluster, self.scheduler.objectives, now, house.runtime.wall_time()
+            self.scheduler.cluster, self.scheduler.objectives, now, context.runtime.wall_time()
         )
         self.term = term
         if not self.shard:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
-            house.cloud.set_term(term)
+            context.cloud.set_term(term)
         log.info(
             "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
             f" share {self.shard}" if self.shard else "",
             term.fencing_token,
-            len(replay.cluster.jobs),
-            len(replay.cluster.machines),
+            len(replayer.cluster.jobs),
+            len(replayer.cluster.machines),
             (now - began) * 1000,
         )
 
     def _counted_resources(
-        self, replay: LogReplayer, journal: WriteAheadLog, term: LeaderTerm
+        self, replayer: LogReplayer, write_ahead_log: WriteAheadLog, term: LeaderTerm
     ) -> CountedResources | None:
         """Counted resources, if there are any: in a file of ours or in the log.
 
         All of them are counted in the first share, which decides for the jobs
         that ask for any.
         """
-        if self.shard or (not self.context.operator.seats and not replay.counted_resources):
+        if self.shard or (not self.context.operator.seats and not replayer.counted_resources):
             return None
         from appleshift.counted_resources.scheduler_part import build
 
         return build(
             self.context.operator,
-            replay,
-            journal,
+            replayer,
+            write_ahead_log,
             term.fencing_token,
             self.context.runtime.wall_time(),
         )
 
     def end_term(self) -> None:
-        core = self.scheduler
+        scheduler = self.scheduler
         self.scheduler = self.achieved_objectives = None
         self.term = None
         self._draining_since = None
         if not self.shard:
             self.election.relayed_fraction = 0.0
             self.context.cloud.set_term(None)
-        if core is not None:
-            core.end_term()
-            for effect in core.take_actions():
-                if isinstance(effect, Reply):
-                    effect.reply_to.put((effect.status, effect.body, effect.retry_after))
+        if scheduler is not None:
+            scheduler.end_term()
+            for action in scheduler.take_actions():
+                if isinstance(action, Reply):
+                    action.reply_to.put((action.status, action.body, action.retry_after))
 
-    def unchanged_response(self, report: HeartbeatHeader, now: float) -> bytes | None:
+    def unchanged_response(self, heartbeat: HeartbeatHeader, now: float) -> bytes | None:
         """The answer to a report that says nothing new; asked by connections' routines."""
-        core = self.scheduler
-        if core is None or not self.lease.may_answer(now):
+        scheduler = self.scheduler
+        if scheduler is None or not self.lease.may_answer(now):
             return None
-        return core.fast_path.response_to(report, now)
+        return scheduler.fast_path.response_to(heartbeat, now)
 
     def has_machine(self, machine: str) -> bool:
         """Is this the share that a machine is in, whatever its name says? Asked by the
         routines of connections: a wrong answer costs a moment."""
-        core = self.scheduler
-        found = None if core is None else core.cluster.machine(machine)
+        scheduler = self.scheduler
+        found = None if scheduler is None else scheduler.cluster.machine(machine)
         return found is not None and not found.in_other_shard
 
     def last_reported_state(self, job_id: str) -> str | None:
         """What users have been told of a job at least, as far as this node knows."""
-        core = self.scheduler
-        return None if core is None else core.job_requests.last_reported_state(job_id)
+        scheduler = self.scheduler
+        return None if scheduler is None else scheduler.job_requests.last_reported_state(job_id)
 
     def view(self) -> dict[str, Any]:
-        core = self.scheduler
-        if core is None:
+        scheduler = self.scheduler
+        if scheduler is None:
             return {"held_here": False}
         own = sum(
-            1 for machine in list(core.cluster.machines.values()) if not machine.in_other_shard
+            1 for machine in list(scheduler.cluster.machines.values()) if not machine.in_other_shard
         )
-        found = {"held_here": True, "jobs": len(core.cluster.jobs), "machines": own}
-        return found if core.sharding is None else {**found, **core.sharding.view()}
+        found = {"held_here": True, "jobs": len(scheduler.cluster.jobs), "machines": own}
+        return found if scheduler.sharding is None else {**found, **scheduler.sharding.view()}
 
 
 def _make_audit_log(written: int) -> RecordFollower:
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from appleshift.protocol import users
-from appleshift.protocol.sharding import Ask, Portion, Standing
+from appleshift.protocol.sharding import ArrayPartition, PartitionRequest, PartitionStatus
 from appleshift.sharding.interfaces import ShardScheduler
 from appleshift.state.cluster_state import CANCELLED, FINISHED, OPEN, Job, partition_key
 from appleshift.state.name_index import from_ranges, to_ranges
@@ -32,9 +32,13 @@
     """Of one term of a share, as a home and as one that runs what others sent."""
 
     def __init__(
-        self, core: ShardScheduler, number: int, takers: list[int], hurry: Callable[[int], None]
+        self,
+        scheduler: ShardScheduler,
+        number: int,
+        takers: list[int],
+        hurry: Callable[[int], None],
     ) -> None:
-        self._scheduler = core
+        self._scheduler = scheduler
         self._shard = number
         self._submission_shards = takers
         # That share is to be asked at once.
@@ -43,7 +47,7 @@
         # that ended it, and how many tasks ran there; who waits for a cancellation.
         self._divided: dict[str, Job] = {
             job.spec.id: job
-            for job in core.cluster.jobs.values()
+            for job in scheduler.cluster.jobs.values()
             if job.remote_tasks or job.cancel_requested
         }
         self._accepted: set[tuple[str, int]] = set()
@@ -72,17 +76,17 @@
         self._divided[spec.id] = job
         return [records.partitions_record(job)]
 
-    def cancel(self, job: Job, slot: Any) -> None:
-        core = self._scheduler
+    def cancel(self, job: Job, reply_to: Any) -> None:
+        scheduler = self._scheduler
         if not job.cancel_requested and job.status == OPEN:
             # From here on nothing of it starts or counts as done at home.
             job.status = CANCELLED
             job.cancel_requested = True
-            core.append_records(
+            scheduler.append_records(
                 [records.cancel_requested_record(job)], lambda: self._cancel_requested(job)
             )
-        core.hold_reply(slot)
-        self._waiting[job.spec.id].append(slot)
+        scheduler.hold_reply(reply_to)
+        self._waiting[job.spec.id].append(reply_to)
 
     def _cancel_requested(self, job: Job) -> None:
         self._scheduler.stop_job(job)
@@ -98,16 +102,16 @@
         if any((job_id, share) not in self._ended for share, _, _ in job.partitions):
             return
         job.cancel_requested = False
-        core = self._scheduler
+        scheduler = self._scheduler
 
         def durable() -> None:
             job.cancel_durable = True
             self._forget(job)
-            for slot in self._waiting.pop(job_id, ()):
-                core.answer_held(slot, 200, users.state_body(job_id, users.CANCELLED))
-            core.job_cancelled(job)
+            for reply_to in self._waiting.pop(job_id, ()):
+                scheduler.answer_held(reply_to, 200, users.state_body(job_id, users.CANCELLED))
+            scheduler.job_cancelled(job)
 
-        core.append_records([records.cancel_record(job)], durable)
+        scheduler.append_records([records.cancel_record(job)], durable)
 
     def _forget(self, job: Job) -> None:
         """No other share has anything of it any more that matters here."""
@@ -118,9 +122,9 @@
             self._ended.discard(key)
             self._running.pop(key, None)
 
-    def outstanding(self) -> dict[int, tuple[list[Portion], list[str], list[str]]]:
+    def outstanding(self) -> dict[int, tuple[list[ArrayPartition], list[str], list[str]]]:
         """By share: portions to be taken, jobs called off, jobs to be told of."""
-        found: dict[int, tuple[list[Portion], list[str], list[str]]] = {}
+        found: dict[int, tuple[list[ArrayPartition], list[str], list[str]]] = {}
         for job_id, job in list(self._divided.items()):
             if not job.remote_tasks and job.status != CANCELLED:
                 self._forget(job)
@@ -136,10 +140,10 @@
                 elif key in self._accepted:
                     wanted.append(job_id)
                 elif len(portions) < MAX_PARTITIONS_PER_CALL:
-                    portions.append(Portion(start, count, job.submitted, job.spec))
+                    portions.append(ArrayPartition(start, count, job.submitted, job.spec))
         return found
 
-    def status_received(self, share: int, standing: Standing) -> None:
+    def status_received(self, share: int, standing: PartitionStatus) -> None:
         job = self._divided.get(standing.id)
         portion = next((p for p in job.partitions if p[0] == share), None) if job else None
         if job is None or portion is None:
@@ -168,25 +172,25 @@
 
     # -- where they run ----------------------------------------------------------------
 
-    def request_received(self, ask: Ask) -> list[Standing]:
+    def request_received(self, ask: PartitionRequest) -> list[PartitionStatus]:
         """Take and end what another share says; how all that it names stands.
 
         What this says may not be durable yet: the answer must wait until it is.
         """
         cluster = self._scheduler.cluster
-        for portion in ask.portions:
+        for portion in ask.partitions:
             key = partition_key(portion.spec.id)
             known = key in cluster.final_states or key in cluster.job_by_id
             if not known and cluster.team_names.get(portion.spec.team) >= 0:
                 self._accept(portion)
-        for job_id in ask.called_off:
+        for job_id in ask.cancelled:
             self._end(job_id)
-        ids = [portion.spec.id for portion in ask.portions] + ask.called_off + ask.wanted
+        ids = [portion.spec.id for portion in ask.partitions] + ask.cancelled + ask.status_of
         return [standing for job_id in ids if (standing := self._status(job_id)) is not None]
 
-    def _accept(self, portion: Portion) -> None:
-        core = self._scheduler
-        cluster = core.cluster
+    def _accept(self, portion: ArrayPartition) -> None:
+        scheduler = self._scheduler
+        cluster = scheduler.cluster
         job = cluster.add_job(
             cluster.next_job_index, portion.spec, portion.submitted, partition=True
         )
@@ -197,36 +201,40 @@
 
         def durable() -> None:
             job.accepted = True
-            core.placement_needed = True
+            scheduler.placement_needed = True
 
-        core.append_records([records.job_record(job), *records.done_records(job, others)], durable)
+        scheduler.append_records(
+            [records.job_record(job), *records.done_records(job, others)], durable
+        )
 
     def _end(self, job_id: str) -> None:
         """Nothing of this job starts here from now on, not even if it comes later."""
-        core, key = self._scheduler, partition_key(job_id)
-        job = core.cluster.job_by_id.get(key)
+        scheduler, key = self._scheduler, partition_key(job_id)
+        job = scheduler.cluster.job_by_id.get(key)
         if job is not None:
             if job.status == OPEN:
                 job.status = CANCELLED
-                core.append_records([records.cancel_record(job)], lambda: core.job_cancelled(job))
-        elif key not in core.cluster.final_states:
-            core.cluster.final_states[key] = CANCELLED
-            core.unsaved_final_states.append((key, CANCELLED))
-            core.append_records([records.final_state_record(key, CANCELLED)])
-
-    def _status(self, job_id: str) -> Standing | None:
+                scheduler.append_records(
+                    [records.cancel_record(job)], lambda: scheduler.job_cancelled(job)
+                )
+        elif key not in scheduler.cluster.final_states:
+            scheduler.cluster.final_states[key] = CANCELLED
+            scheduler.unsaved_final_states.append((key, CANCELLED))
+            scheduler.append_records([records.final_state_record(key, CANCELLED)])
+
+    def _status(self, job_id: str) -> PartitionStatus | None:
         cluster, key = self._scheduler.cluster, partition_key(job_id)
         final = cluster.final_states.get(key)
         if final is not None:
             self._ranges.pop(job_id, None)
-            return Standing(job_id, final, [])
+            return PartitionStatus(job_id, final, [])
         job = cluster.job_by_id.get(key)
         if job is None:
             return None
         if job.status != OPEN:
-            return Standing(job_id, job.status, [])
+            return PartitionStatus(job_id, job.status, [])
         count, ranges = self._ranges.get(job_id, (-1, []))
         if count != job.done_count:
             ranges = to_ranges([task for task in range(job.spec.tasks) if job.done[task]])
             self._ranges[job_id] = (job.done_count, ranges)
-        return Standing(job_id, OPEN, ranges, job.running())
+        return PartitionStatus(job_id, OPEN, ranges, job.running())
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -7,7 +7,14 @@
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.protocol import cloud
-from appleshift.protocol.sharding import GONE, LEAVING, MOVED, Digest, MachineNow, Plan
+from appleshift.protocol.sharding import (
+    GONE,
+    LEAVING,
+    MOVED,
+    FleetPlan,
+    MachineSummary,
+    ShardSummary,
+)
 from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap
@@ -29,12 +36,14 @@
 class FleetSummary:
     """Of one term of the first share."""
 
-    def __init__(self, core: ShardScheduler, known: ShardMap, handing: MachineTransfer) -> None:
-        self._scheduler = core
+    def __init__(
+        self, scheduler: ShardScheduler, known: ShardMap, handing: MachineTransfer
+    ) -> None:
+        self._scheduler = scheduler
         self._map = known
         self._transfer = handing
         # The shares' last digests, and idle machines that they are to give back.
-        self._summaries: dict[int, tuple[float, Digest]] = {}
+        self._summaries: dict[int, tuple[float, ShardSummary]] = {}
         self._leaving: dict[int, set[str]] = defaultdict(set)
         self._shard_of: dict[str, int] = {}
         # Machines to be handed on, by the share that has them: name -> share, since.
@@ -43,37 +52,40 @@
         # Since when work waits in a share without a break.
         self._waiting_since: dict[int, float] = {}
 
-    def summary_received(self, digest: Digest) -> Plan:
-        core = self._scheduler
-        fleet, cluster = core.fleet, core.cluster
-        last = self._summaries.get(digest.share)
-        newer = last is None or (digest.token, digest.seq) > (last[1].token, last[1].seq)
+    def summary_received(self, digest: ShardSummary) -> FleetPlan:
+        scheduler = self._scheduler
+        fleet, cluster = scheduler.fleet, scheduler.cluster
+        last = self._summaries.get(digest.shard)
+        newer = last is None or (digest.fencing_token, digest.seq) > (
+            last[1].fencing_token,
+            last[1].seq,
+        )
         if newer:
             # What was delayed on its way says less than what is known by now.
-            self._summaries[digest.share] = (core.now, digest)
+            self._summaries[digest.shard] = (scheduler.now, digest)
             for each in digest.machines:
-                self._machine(digest.share, each)
+                self._machine(digest.shard, each)
             for kind, zone in digest.evicted:
                 market = (cluster.type_names.get(kind), cluster.zones.get(zone))
                 if min(market) >= 0:
                     fleet.evict_market(market)
-            self._waits(digest.share, digest.waiting > 0)
+            self._waits(digest.shard, digest.waiting > 0)
             if digest.waiting:
-                fleet.next_review = min(fleet.next_review, core.now + SUMMARY_INTERVAL_S)
+                fleet.next_review = min(fleet.next_review, scheduler.now + SUMMARY_INTERVAL_S)
         plain = max(1, len(self._map.plain))
-        moving = self._moving[digest.share]
+        moving = self._moving[digest.shard]
         for name, (_, since) in list(moving.items()):
-            if core.now - since > MOVE_S:
+            if scheduler.now - since > MOVE_S:
                 del moving[name]
-        return Plan(
-            core.fencing_token,
+        return FleetPlan(
+            scheduler.fencing_token,
             cluster.types,
-            sorted(self._leaving[digest.share])[: cloud.MAX_DELETE],
+            sorted(self._leaving[digest.shard])[: cloud.MAX_DELETE],
             fleet.on_demand_spare.get(False, 0.0) / plain,
             [(name, share) for name, (share, _) in moving.items()],
         )
 
-    def _machine(self, share: int, told: MachineNow) -> None:
+    def _machine(self, share: int, told: MachineSummary) -> None:
         cluster, leaving = self._scheduler.cluster, self._leaving[share]
         machine = cluster.machine(told.name)
         if told.state == MOVED:
@@ -131,7 +143,7 @@
         cluster = self._scheduler.cluster
         own = lacking_in(self._scheduler) if 0 in self._map.plain else []
         self._waits(0, bool(own))
-        needs = {digest.share: digest.lacking for digest in self._fresh()}
+        needs = {digest.shard: digest.shortages for digest in self._fresh()}
         lacking = {
             share: found
             for share, found in {**needs, 0: own}.items()
@@ -197,7 +209,7 @@
         else:
             self._waiting_since.pop(share, None)
 
-    def _fresh(self) -> list[Digest]:
+    def _fresh(self) -> list[ShardSummary]:
         now = self._scheduler.now
         return [digest for at, digest in self._summaries.values() if now - at < STALE_S]
 
@@ -209,8 +221,8 @@
         it only if that is rented for each of them."""
         by_share = {0: [*own]}
         for digest in self._fresh():
-            if len(digest.sums) == 2:
-                by_share[digest.share] = digest.sums[gpus]
+            if len(digest.capacity_needed) == 2:
+                by_share[digest.shard] = digest.capacity_needed[gpus]
         total, fixed = (
             [sum(sums[which][size] for sums in by_share.values()) for size in range(3)]
             for which in range(2)
@@ -229,8 +241,8 @@
         cluster = self._scheduler.cluster
         found = []
         for digest in self._fresh():
-            spread_by = len(self._map.plain) if digest.share in self._map.plain else 1
-            for need in digest.needs:
+            spread_by = len(self._map.plain) if digest.shard in self._map.plain else 1
+            for need in digest.unplaceable:
                 if (need.gpus > 0) != gpus:
                     continue
                 found.append(
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -12,7 +12,7 @@
 
 import logging
 
-from appleshift.protocol.sharding import GivenMachine
+from appleshift.protocol.sharding import TransferredMachine
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.state.cluster_state import HandedOffMachine
 from appleshift.storage import records
@@ -23,17 +23,17 @@
 class MachineTransfer:
     """Of one term of a share: machines given away, and taken."""
 
-    def __init__(self, core: ShardScheduler, number: int) -> None:
-        self._scheduler = core
+    def __init__(self, scheduler: ShardScheduler, number: int) -> None:
+        self._scheduler = scheduler
         self._shard = number
         # Given away, and not confirmed in this term; not what is not durably given
         # away yet: a successor here would have it still, and so would the other share.
-        self._unconfirmed: dict[str, HandedOffMachine] = dict(core.cluster.handed_off)
+        self._unconfirmed: dict[str, HandedOffMachine] = dict(scheduler.cluster.handed_off)
         self.transferred_count = 0
 
     def hand_off(self, name: str, share: int) -> HandedOffMachine | None:
         """Give a machine away, if nothing can be on it nor come to it any more."""
-        core, cluster = self._scheduler, self._scheduler.cluster
+        scheduler, cluster = self._scheduler, self._scheduler.cluster
         machine = cluster.machine(name)
         if (
             machine is None
@@ -49,7 +49,7 @@
             or not machine.schedulable()
         ):
             return None
-        if core.draining or not core.lease.may_write(core.now):
+        if scheduler.draining or not scheduler.lease.may_write(scheduler.now):
             return None
         kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
         given = HandedOffMachine(
@@ -60,25 +60,25 @@
             machine.spot,
             share,
             machine.transfer_count + 1,
-            core.fencing_token_for(machine),
+            scheduler.fencing_token_for(machine),
         )
         # Out of use from here on: whatever becomes of the record, it is no longer ours
         # to start anything on.
         cluster.forget_machine(machine)
-        core.fast_path.entries.pop(name, None)
+        scheduler.fast_path.entries.pop(name, None)
         cluster.handed_off[name] = given
 
         def durable() -> None:
             self._unconfirmed[name] = given
 
-        core.append_records([records.handed_off_record(given)], durable)
+        scheduler.append_records([records.handed_off_record(given)], durable)
         self.transferred_count += 1
         log.info("machine %s goes to share %d", name, share)
         return given
 
-    def accept(self, told: GivenMachine) -> bool:
+    def accept(self, told: TransferredMachine) -> bool:
         """Take a machine that was handed on; true once it is (or was) this share's."""
-        core, cluster = self._scheduler, self._scheduler.cluster
+        scheduler, cluster = self._scheduler, self._scheduler.cluster
         known, given = cluster.machine(told.name), cluster.handed_off.get(told.name)
         if told.name in cluster.deleted_machines or (
             given is not None and given.transfer_count >= told.moves
@@ -99,19 +99,19 @@
             told.moves,
             told.token,
         )
-        machine.rented_at = machine.idle_since = core.now
-        core.append_records([records.machine_record(cluster, machine)])
+        machine.rented_at = machine.idle_since = scheduler.now
+        scheduler.append_records([records.machine_record(cluster, machine)])
         log.info("machine %s comes from another share", told.name)
         return True
 
-    def unconfirmed(self) -> dict[int, list[GivenMachine]]:
+    def unconfirmed(self) -> dict[int, list[TransferredMachine]]:
         """By share: machines that it is to take."""
-        found: dict[int, list[GivenMachine]] = {}
+        found: dict[int, list[TransferredMachine]] = {}
         for each in self._unconfirmed.values():
             given = found.setdefault(each.shard, [])
             if len(given) < MAX_MACHINES_PER_CALL:
                 given.append(
-                    GivenMachine(
+                    TransferredMachine(
                         each.name,
                         each.addr,
                         each.type,
--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -14,13 +14,15 @@
 from xxhash import xxh3_64_intdigest
 
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.sharding import Epoch
+from appleshift.protocol.sharding import ShardMapEpoch
 
 
 class ShardMap:
     """The epochs, the newest last."""
 
-    def __init__(self, epochs: list[Epoch], changing: bool = False, version: int = 0) -> None:
+    def __init__(
+        self, epochs: list[ShardMapEpoch], changing: bool = False, version: int = 0
+    ) -> None:
         if not epochs:
             raise ValueError("a map of shares without any epoch")
         self.epochs = epochs
@@ -83,7 +85,7 @@
     cards: list[str],
     teams: list[TeamLimits],
     busy: Iterable[int] = (),
-) -> Epoch:
+) -> ShardMapEpoch:
     """The division of whatever comes after a machine's name.
 
     ``busy`` shares have work from before: they go on getting machines for it, or
@@ -91,4 +93,4 @@
     """
     first = 0 if count <= 1 or any(is_pinned(team) for team in teams) else 1
     homes = list(range(first, max(1, count)))
-    return Epoch(count, after, cards, sorted({*homes, *busy}), homes)
+    return ShardMapEpoch(count, after, cards, sorted({*homes, *busy}), homes)
