--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -28,13 +28,13 @@
 from appleshift.node_limits.node_limits import NodeLimits
 from appleshift.protocol import kv, peers
 from appleshift.protocol.sharding import (
-    MAP_KEY,
-    SHARE_PATH,
-    Epoch,
-    MapValue,
-    ShareCall,
+    SHARD_CALL_PATH,
+    SHARD_MAP_KEY,
+    ShardCall,
+    ShardMapEpoch,
+    ShardMapValue,
     decode_answer,
-    map_value,
+    decode_shard_map,
 )
 from appleshift.protocol.wire import ProtocolError, encode
 from appleshift.shard_replica import NodeContext, ShardReplica
@@ -66,19 +66,19 @@
 
     def __init__(
         self,
-        house: NodeContext,
-        holdings: Mapping[int, ShardReplica],
+        context: NodeContext,
+        replicas: Mapping[int, ShardReplica],
         neighbours: PeerMonitor,
         grow: Callable[[ShardReplica], None],
     ) -> None:
-        self.context = house
+        self.context = context
         self.shard_map: ShardMap | None = None
         self.version = 0
-        self._replicas = holdings
+        self._replicas = replicas
         self._peer_monitor = neighbours
         self._add_replica = grow
-        self._pool = ThreadPool(house.runtime, "share-call", CALLS)
-        self._now = house.runtime.now
+        self._pool = ThreadPool(context.runtime, "share-call", CALLS)
+        self._now = context.runtime.now
         self._began = self._now()
         self._next_step = 0.0
         self._assigner: ShardAssigner | None = None
@@ -102,11 +102,11 @@
                 log.debug("map of shares: %s", error)
             self.context.stop.wait(READ_GAP_S)
 
-    def _read_map(self) -> tuple[MapValue | None, int]:
-        item = self.context.store.get(MAP_KEY)
-        return (None, 0) if item is None else (map_value(item.value), item.version)
+    def _read_map(self) -> tuple[ShardMapValue | None, int]:
+        item = self.context.store.get(SHARD_MAP_KEY)
+        return (None, 0) if item is None else (decode_shard_map(item.value), item.version)
 
-    def _install_map(self, value: MapValue | None, version: int) -> None:
+    def _install_map(self, value: ShardMapValue | None, version: int) -> None:
         if value is None or version <= self.version:
             return
         known = ShardMap(value.epochs, value.changing, version)
@@ -125,61 +125,61 @@
     def _guards(self) -> tuple[tuple[str, int], ...] | None:
         """Under which map a share other than the first may be held."""
         known, version = self.shard_map, self.version
-        return None if known is None or known.changing else ((MAP_KEY, version),)
+        return None if known is None or known.changing else ((SHARD_MAP_KEY, version),)
 
-    def sharding_for(self, term: LeaderTerm, replay: LogReplayer) -> Sharding | None:
+    def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> Sharding | None:
         """What a share's new core has to do with the others; None with one share.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
         TxnFailedError if the term is over.
         """
         if not term.shard:
-            self._update_map(term, replay)
-        elif term.extra_guards != ((MAP_KEY, self.version),):
+            self._update_map(term, replayer)
+        elif term.extra_guards != ((SHARD_MAP_KEY, self.version),):
             # Elected under a map that is not in force: nothing could be written.
-            raise CompareFailedError([MAP_KEY])
+            raise CompareFailedError([SHARD_MAP_KEY])
         if self.shard_map is None:
             return None
         return Sharding(term.shard, self.shard_map, self.context.settings.deployment.teams)
 
-    def _update_map(self, term: LeaderTerm, replay: LogReplayer) -> None:
+    def _update_map(self, term: LeaderTerm, replayer: LogReplayer) -> None:
         """The leader makes the map what the operators want it to be."""
         value, version = self._read_map()
         wanted = self.context.operator.shares
         if value is None and wanted <= 1:
             return
-        last = Epoch(1) if value is None else value.epochs[-1]
+        last = ShardMapEpoch(1) if value is None else value.epochs[-1]
         wanted = wanted or last.count
         if value is not None and not value.changing and wanted == last.count:
             leaving = {*last.plain} - {*last.homes}
-            if not leaving or leaving & self._shards_with_work(replay, leaving):
+            if not leaving or leaving & self._shards_with_work(replayer, leaving):
                 self._install_map(value, version)
                 return
-        kinds = replay.cluster.types or self.context.cloud.machine_types()
+        kinds = replayer.cluster.types or self.context.cloud.machine_types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
         teams = self.context.settings.deployment.teams
-        epochs: list[Epoch] = [] if value is None else value.epochs
+        epochs: list[ShardMapEpoch] = [] if value is None else value.epochs
         if value is not None:
-            version = self._write_map(term, MapValue(epochs, changing=True), version)
-        others = self._recovered_shards(replay, ShardMap(epochs or [last]).shard_count)
+            version = self._write_map(term, ShardMapValue(epochs, changing=True), version)
+        others = self._recovered_shards(replayer, ShardMap(epochs or [last]).shard_count)
         names = {name for cluster in others.values() for name in _machine_names(cluster)}
         busy = {share for share, cluster in others.items() if cluster.jobs and share in last.plain}
-        if value is None and (names or replay.cluster.jobs or replay.cluster.final_states):
+        if value is None and (names or replayer.cluster.jobs or replayer.cluster.final_states):
             epochs = [last]
         new = new_epoch(wanted, max(names, default=""), cards, teams, busy)
         epochs = [*epochs, new]
-        version = self._write_map(term, MapValue(epochs), version)
+        version = self._write_map(term, ShardMapValue(epochs), version)
         log.info("map of shares, version %d: %s", version, msgspec.json.encode(epochs).decode())
-        self._install_map(MapValue(epochs), version)
+        self._install_map(ShardMapValue(epochs), version)
 
-    def _write_map(self, term: LeaderTerm, value: MapValue, version: int) -> int:
+    def _write_map(self, term: LeaderTerm, value: ShardMapValue, version: int) -> int:
         """Put the map in the place of that version; returns its own."""
         value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
             kv.guard(self._replicas[0].election.key, term.key_version),
-            kv.guard(MAP_KEY, version),
+            kv.guard(SHARD_MAP_KEY, version),
         ]
-        put = kv.put(MAP_KEY, msgspec.to_builtins(value))
+        put = kv.put(SHARD_MAP_KEY, msgspec.to_builtins(value))
         try:
             return self.context.store.compare_and_swap(guards, [put])
         except CompareFailedError:
@@ -189,19 +189,19 @@
                 return version
             raise
 
-    def _recovered_shards(self, replay: LogReplayer, shares: int) -> dict[int, ClusterState]:
+    def _recovered_shards(self, replayer: LogReplayer, shares: int) -> dict[int, ClusterState]:
         """What the logs of all shares say; the first one's is recovered already."""
         deployment = self.context.settings.deployment
-        found = {0: replay.cluster}
+        found = {0: replayer.cluster}
         for share in range(1, shares):
             other = LogReplayer(ClusterState(deployment.zones, deployment.teams))
             recover(self.context.store, other, shard_prefix(share))
             found[share] = other.cluster
         return found
 
-    def _shards_with_work(self, replay: LogReplayer, shares: set[int]) -> set[int]:
+    def _shards_with_work(self, replayer: LogReplayer, shares: set[int]) -> set[int]:
         """Which of these shares have work."""
-        cluster = self._recovered_shards(replay, max(shares) + 1)
+        cluster = self._recovered_shards(replayer, max(shares) + 1)
         return {share for share in shares if cluster[share].jobs}
 
     # -- who holds what ------------------------------------------------------------------
@@ -209,16 +209,16 @@
     def controllers(self, now: float) -> list[ControllerLoad]:
         """Who is there, this node included."""
         name = self.context.settings.name
-        held = sum(holding.lease.is_leader for holding in [*self._replicas.values()])
+        held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
         found = [ControllerLoad(name, held, now - self._began)]
-        for sibling in self.context.peer_clients:
-            at, hello = self._peer_monitor.last_status.get(sibling, (float("-inf"), None))
+        for peer in self.context.peer_clients:
+            at, hello = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
             if hello is not None and now - at < PEER_STATUS_VALID_S and hello.shard_map_version:
                 count = len(hello.held_shards) + hello.leading
-                since = self._peer_monitor.reachable_since.get(sibling, now)
-                found.append(ControllerLoad(sibling, count, now - since))
+                since = self._peer_monitor.reachable_since.get(peer, now)
+                found.append(ControllerLoad(peer, count, now - since))
             elif now - self._began < GATHERING_S:
-                found.append(ControllerLoad(sibling, 0, 0.0))
+                found.append(ControllerLoad(peer, 0, 0.0))
         return found
 
     def wanted_move(self, now: float) -> tuple[int, str] | None:
@@ -268,8 +268,8 @@
             if self._assigner is None:
                 self._assigner = ShardAssigner(now)
             holders = {
-                share: holding.election.current_leader()
-                for share, holding in [*self._replicas.items()]
+                share: replica.election.current_leader()
+                for share, replica in [*self._replicas.items()]
             }
             self._set_max_machines(len(holders))
             move = self._assigner.step(now, holders, self.controllers(now))
@@ -280,10 +280,10 @@
             self._assigner, self._move = None, None
         move = self.wanted_move(now)
         if move is not None and move[1] != self.context.settings.name:
-            holding = self._replicas.get(move[0])
+            replica = self._replicas.get(move[0])
             there = any(each.name == move[1] for each in self.controllers(now))
-            if holding is not None and holding.lease.may_write(now) and there:
-                holding.hand_over()
+            if replica is not None and replica.lease.may_write(now) and there:
+                replica.hand_over()
 
     def _set_max_machines(self, shares: int) -> None:
         """How many machines may be rented: so many that each node hears its part.
@@ -291,49 +291,49 @@
         Beyond its places a node closes connections between reports, so that the
         machines that report at the same time need one, not all that there are.
         """
-        core = self._replicas[0].scheduler
-        if core is not None:
+        scheduler = self._replicas[0].scheduler
+        if scheduler is not None:
             limits = self.context.settings.deployment.machine_limits
             places = NodeLimits.from_machine_limits(limits, shared=True).machines
             nodes = min(len(self.context.peer_clients) + 1, shares)
-            core.fleet.set_max_machines(int(places * nodes * CLOSED))
+            scheduler.fleet.set_max_machines(int(places * nodes * CLOSED))
 
     def extend_status(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
         """What this node says of itself, with its shares."""
         shares = [
-            peers.HeldShard(share, holding.lease.fencing_token, holding.lease.may_answer(now))
-            for share, holding in sorted([*self._replicas.items()])
-            if share and holding.lease.is_leader
+            peers.HeldShard(share, replica.lease.fencing_token, replica.lease.may_answer(now))
+            for share, replica in sorted([*self._replicas.items()])
+            if share and replica.lease.is_leader
         ]
         wanted: list[str] = []
         move = self._move
         if move is not None and hello.entitled:
             wanted = [""] * move[0] + [move[1]]
         return msgspec.structs.replace(
-            hello, shares=shares, map_version=self.version, wanted=wanted
+            hello, held_shards=shares, shard_map_version=self.version, preferred_holders=wanted
         )
 
     # -- calls between holders ---------------------------------------------------------------
 
-    def call_shard(self, effect: CallShard, term: Any) -> None:
-        self._pool.submit(self._call_shard, effect, term)
+    def call_shard(self, action: CallShard, term: Any) -> None:
+        self._pool.submit(self._call_shard, action, term)
 
-    def _call_shard(self, effect: CallShard, term: Any) -> None:
-        back = _ReplyToScheduler(self.context.post, term, effect.shard)
-        holding = self._replicas.get(effect.shard)
-        holder = None if holding is None else holding.election.current_leader()
+    def _call_shard(self, action: CallShard, term: Any) -> None:
+        back = _ReplyToScheduler(self.context.post, term, action.shard)
+        replica = self._replicas.get(action.shard)
+        holder = None if replica is None else replica.election.current_leader()
         if holder == self.context.settings.name:
-            self.context.post(events.ShardRequestReceived(effect.shard, back, effect.message))
+            self.context.post(events.ShardRequestReceived(action.shard, back, action.message))
             return
         client = self.context.peer_clients.get(holder or "")
         answer = None
         try:
             if client is not None:
-                body = encode(ShareCall(effect.shard, effect.message))
-                status, raw = client.request("POST", SHARE_PATH, body, CALL_S)
+                body = encode(ShardCall(action.shard, action.message))
+                status, raw = client.request("POST", SHARD_CALL_PATH, body, CALL_S)
                 answer = decode_answer(raw) if status == 200 else None
         except (ClientError, ProtocolError) as error:
-            log.debug("call to share %d: %s", effect.shard, error)
+            log.debug("call to share %d: %s", action.shard, error)
         back.put((200 if answer is not None else 503, answer, 0))
 
 
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -16,10 +16,10 @@
     LEAVING,
     MOVED,
     UP,
-    Digest,
-    MachineNow,
-    NeedNow,
-    Plan,
+    FleetPlan,
+    MachineSummary,
+    ShardSummary,
+    UnmetNeed,
 )
 from appleshift.provisioning.pool import CapacityPool, need_of_shortage
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
@@ -32,25 +32,25 @@
 NEEDS = 40
 
 
-def unmet_need(cluster: ClusterState, need: CapacityNeed) -> NeedNow:
+def unmet_need(cluster: ClusterState, need: CapacityNeed) -> UnmetNeed:
     """As it is told to another node, by names."""
     kinds = [kind.name for kind, ok in zip(cluster.types, need.eligible_types, strict=True) if ok]
     zones = [cluster.zones.names[zone] for zone in need.zones]
-    return NeedNow(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
+    return UnmetNeed(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
 
 
-def unmet_needs(core: ShardScheduler) -> list[NeedNow]:
+def unmet_needs(scheduler: ShardScheduler) -> list[UnmetNeed]:
     """What waits for room, the most urgent first."""
-    cluster = core.cluster
-    some = core.fleet.shortages[:NEEDS]
+    cluster = scheduler.cluster
+    some = scheduler.fleet.shortages[:NEEDS]
     return [unmet_need(cluster, need_of_shortage(cluster, shortage)) for shortage in some]
 
 
 class ShardReporter:
     """Of one term of a share other than the first."""
 
-    def __init__(self, core: ShardScheduler, number: int, handing: MachineTransfer) -> None:
-        self._scheduler = core
+    def __init__(self, scheduler: ShardScheduler, number: int, handing: MachineTransfer) -> None:
+        self._scheduler = scheduler
         self._shard = number
         self._transfer = handing
         # What the leader knows of each machine, and what is on its way to it.
@@ -65,11 +65,11 @@
         names = self._scheduler.cluster
         self._evicted.add((names.type_names.names[kind], names.zones.names[zone]))
 
-    def summary(self, now: float) -> Digest:
+    def summary(self, now: float) -> ShardSummary:
         """What the leader is to be told now."""
-        core, cluster = self._scheduler, self._scheduler.cluster
+        scheduler, cluster = self._scheduler, self._scheduler.cluster
         self._seq += 1
-        changed: list[MachineNow] = []
+        changed: list[MachineSummary] = []
         for machine in cluster.machines.values():
             if machine.status != MACHINE_UP:
                 continue
@@ -80,49 +80,51 @@
                     cluster.type_names.names[machine.type],
                     cluster.zones.names[machine.zone],
                 )
-                changed.append(MachineNow(machine.name, kind, zone, machine.spot, state, idle))
+                changed.append(MachineSummary(machine.name, kind, zone, machine.spot, state, idle))
             if len(changed) >= MAX_MACHINES_PER_CALL:
                 break
         for name in [name for name in self._acknowledged if cluster.machine(name) is None]:
             state = MOVED if name in cluster.handed_off else GONE
-            changed.append(MachineNow(name, "", "", False, state, False))
+            changed.append(MachineSummary(name, "", "", False, state, False))
         self._in_flight = {each.name: (each.state, each.idle) for each in changed}
         self._evicted_in_flight = set(self._evicted)
-        pools = [CapacityPool(core.fleet, gpus) for gpus in (False, True)] if cluster.types else []
-        return Digest(
+        pools = (
+            [CapacityPool(scheduler.fleet, gpus) for gpus in (False, True)] if cluster.types else []
+        )
+        return ShardSummary(
             self._shard,
-            core.fencing_token,
+            scheduler.fencing_token,
             self._seq,
             changed,
             [[*pool.needed_capacity(now)] for pool in pools],
             [unmet_need(cluster, need) for pool in pools for need in pool.unplaceable_needs()][
                 :NEEDS
             ],
-            unmet_needs(core),
+            unmet_needs(scheduler),
             sorted(self._evicted),
             len(cluster.jobs),
-            sum(shortage.tasks for shortage in core.fleet.shortages),
+            sum(shortage.tasks for shortage in scheduler.fleet.shortages),
         )
 
-    def plan_received(self, plan: Plan) -> None:
-        core, cluster = self._scheduler, self._scheduler.cluster
+    def plan_received(self, plan: FleetPlan) -> None:
+        scheduler, cluster = self._scheduler, self._scheduler.cluster
         for name, said in self._in_flight.items():
             if said[0] in (GONE, MOVED):
                 self._acknowledged.pop(name, None)
             else:
                 self._acknowledged[name] = said
         self._evicted -= self._evicted_in_flight
-        if plan.token != self._leader_token:
+        if plan.fencing_token != self._leader_token:
             # Another leader, which was told nothing before this digest.
-            self._leader_token = plan.token
+            self._leader_token = plan.fencing_token
             self._acknowledged = dict(self._in_flight)
         self._in_flight, self._evicted_in_flight = {}, set()
         if plan.types:
-            core.fleet.set_machine_types(plan.types)
-        core.fleet.on_demand_spare[False] = plan.spare
-        for name, share in plan.hand_on:
+            scheduler.fleet.set_machine_types(plan.types)
+        scheduler.fleet.on_demand_spare[False] = plan.on_demand_spare
+        for name, share in plan.transfers:
             self._transfer.hand_off(name, share)
-        leaving = [machine for name in plan.give_back if (machine := cluster.machine(name))]
+        leaving = [machine for name in plan.return_machines if (machine := cluster.machine(name))]
         leaving = [
             each
             for each in leaving
@@ -131,7 +133,7 @@
         for machine in leaving:
             log.info("returning idle machine %s", machine.name)
         if leaving:
-            core.delete_machines(leaving)
+            scheduler.delete_machines(leaving)
 
     def no_reply(self) -> None:
         """Perhaps the leader heard, perhaps not: all of it is said again."""
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -15,7 +15,7 @@
 from appleshift.contracts.actions import CallShard
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.sharding import Ask, Digest, Plan, Told
+from appleshift.protocol.sharding import FleetPlan, PartitionReply, PartitionRequest, ShardSummary
 from appleshift.protocol.users import Submission
 from appleshift.sharding.array_partitions import ArrayPartitions
 from appleshift.sharding.fleet_summary import FleetSummary
@@ -52,14 +52,14 @@
         self._next_ask: dict[int, float] = defaultdict(float)
         self._next_look = 0.0
 
-    def attach(self, core: Any) -> None:
-        self._scheduler = core
+    def attach(self, scheduler: Any) -> None:
+        self._scheduler = scheduler
         self._partitions = ArrayPartitions(
-            core, self.shard, self._map.submission_shards, self._poll_now
+            scheduler, self.shard, self._map.submission_shards, self._poll_now
         )
-        self._transfer = MachineTransfer(core, self.shard)
-        self._reporter = ShardReporter(core, self.shard, self._transfer)
-        self._fleet_summary = FleetSummary(core, self._map, self._transfer)
+        self._transfer = MachineTransfer(scheduler, self.shard)
+        self._reporter = ShardReporter(scheduler, self.shard, self._transfer)
+        self._fleet_summary = FleetSummary(scheduler, self._map, self._transfer)
 
     # -- what belongs where --------------------------------------------------------
 
@@ -74,7 +74,7 @@
 
     def deciding_shard(self, spec: Submission) -> int:
         """The first share has the machines with cards, and teams with limits on the rest."""
-        if spec.gpus > 0 or spec.team in self._pinned or spec.seats:
+        if spec.gpus > 0 or spec.team in self._pinned or spec.counted_resources:
             return 0
         plain = (
             kind
@@ -88,8 +88,8 @@
     def partition_array(self, job: Job) -> list[Record]:
         return self._partitions.partition_array(job)
 
-    def cancel_partitioned(self, job: Job, slot: Any) -> None:
-        self._partitions.cancel(job, slot)
+    def cancel_partitioned(self, job: Job, reply_to: Any) -> None:
+        self._partitions.cancel(job, reply_to)
 
     def machine_evicted(self, kind: int, zone: int) -> None:
         self._reporter.machine_evicted(kind, zone)
@@ -107,30 +107,32 @@
 
     # -- other holders ---------------------------------------------------------------------
 
-    def request_received(self, message: Any, slot: Any) -> None:
-        core = self._scheduler
-        if isinstance(message, Digest) and not self.shard:
-            if core.lease.may_answer(core.now):
-                core.reply(slot, 200, self._fleet_summary.summary_received(message))
+    def request_received(self, message: Any, reply_to: Any) -> None:
+        scheduler = self._scheduler
+        if isinstance(message, ShardSummary) and not self.shard:
+            if scheduler.lease.may_answer(scheduler.now):
+                scheduler.reply(reply_to, 200, self._fleet_summary.summary_received(message))
                 return
-        elif isinstance(message, Ask):
-            changes = message.portions or message.called_off or message.machines
-            writes = core.lease.may_write(core.now) and not (core.draining or core.is_stalled)
-            if core.lease.may_answer(core.now) and (writes or not changes):
+        elif isinstance(message, PartitionRequest):
+            changes = message.partitions or message.cancelled or message.machines
+            writes = scheduler.lease.may_write(scheduler.now) and not (
+                scheduler.draining or scheduler.is_stalled
+            )
+            if scheduler.lease.may_answer(scheduler.now) and (writes or not changes):
                 standings = self._partitions.request_received(message)
                 taken = [each.name for each in message.machines if self._transfer.accept(each)]
-                core.reply_durable(slot, 200, Told(standings, taken))
+                scheduler.reply_durable(reply_to, 200, PartitionReply(standings, taken))
                 return
-        core.reply_unavailable(slot)
+        scheduler.reply_unavailable(reply_to)
 
     def reply_received(self, share: int, answer: Any) -> None:
         self._pending_calls.discard(share)
-        if isinstance(answer, Told):
-            for standing in answer.standings:
+        if isinstance(answer, PartitionReply):
+            for standing in answer.statuses:
                 self._partitions.status_received(share, standing)
             for name in answer.machines:
                 self._transfer.confirmed(share, name)
-        elif isinstance(answer, Plan):
+        elif isinstance(answer, FleetPlan):
             self._reporter.plan_received(answer)
         elif share == 0:
             self._reporter.no_reply()
@@ -138,7 +140,7 @@
     def _poll_now(self, share: int) -> None:
         self._next_ask[share] = 0.0
 
-    def _call(self, share: int, message: Ask | Digest, again_s: float) -> None:
+    def _call(self, share: int, message: PartitionRequest | ShardSummary, again_s: float) -> None:
         self._pending_calls.add(share)
         self._next_ask[share] = self._scheduler.now + again_s
         self._scheduler.actions.append(CallShard(share, message))
@@ -146,19 +148,19 @@
     # -- time --------------------------------------------------------------------------------
 
     def step(self, now: float) -> None:
-        core = self._scheduler
-        if now < self._next_look or not core.lease.may_answer(now):
+        scheduler = self._scheduler
+        if now < self._next_look or not scheduler.lease.may_answer(now):
             return
         self._next_look = now + LOOK_S
         outstanding, given = self._partitions.outstanding(), self._transfer.unconfirmed()
         for share in {**outstanding, **given}:
             if share not in self._pending_calls and now >= self._next_ask[share]:
                 lists = outstanding.get(share, ([], [], []))
-                self._call(share, Ask(self.shard, *lists, given.get(share, [])), ASK_S)
+                self._call(share, PartitionRequest(self.shard, *lists, given.get(share, [])), ASK_S)
         if not self.shard:
             self._fleet_summary.step(now)
         elif 0 not in self._pending_calls and now >= self._next_ask[0]:
-            again_s = SUMMARY_INTERVAL_S if core.cluster.types else EARLY_S
+            again_s = SUMMARY_INTERVAL_S if scheduler.cluster.types else EARLY_S
             self._call(0, self._reporter.summary(now), again_s)
 
     def view(self) -> dict[str, Any]:
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -460,7 +460,7 @@
         job.team = self.team_names.get(spec.team)
         job.image = self.images.add(spec.image)
         job.zone = -1 if spec.zone is None else self.zones.add(spec.zone)
-        if self.counted_resources is not None and spec.seats is not None:
+        if self.counted_resources is not None and spec.counted_resources is not None:
             job.counted_needs = self.counted_resources.needs_of(spec)
         self.jobs[index] = job
         self.job_by_id[job.key] = job
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -49,9 +49,9 @@
 class KeyValueStore:
     """Blocking calls; every failure is one of the errors above."""
 
-    def __init__(self, client: HttpCaller, rps: float, routines: Runtime) -> None:
+    def __init__(self, client: HttpCaller, rps: float, runtime: Runtime) -> None:
         self._client = client
-        self._budget = RateLimiter(routines, max(1.0, rps))
+        self._budget = RateLimiter(runtime, max(1.0, rps))
         self.is_answering = False
         """Whether it did when it was asked last."""
 
@@ -103,12 +103,12 @@
     def compare_and_swap(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]], timeout: float = 1.0
     ) -> int:
-        status, body = self._call("POST", "/txn", kv.txn_body(guards, changes), timeout)
+        status, body = self._call("POST", "/txn", kv.transaction_body(guards, changes), timeout)
         if status == 409:
-            raise CompareFailedError(self._decoded(200, body, kv.decode_failed))
+            raise CompareFailedError(self._decoded(200, body, kv.decode_compare_failed))
         if status == 400:
             raise LeaseExpiredError(repr(body[:200]))
-        revision: int = self._decoded(status, body, kv.decode_txn)
+        revision: int = self._decoded(status, body, kv.decode_transaction)
         return revision
 
     def grant_lease(self, ttl_s: float, timeout: float = 1.0) -> int:
@@ -131,13 +131,13 @@
             return False
         return status in (200, 204, 404)
 
-    def watch(self, prefix: str, after: int, hold_s: float) -> kv.Changes | None:
+    def watch(self, prefix: str, after: int, hold_s: float) -> kv.ChangeFeed | None:
         """What changed; None if the history no longer goes back that far."""
         path = kv.watch_path(prefix, after, hold_s)
         status, body = self._call("GET", path, None, hold_s + 2.0)
         if status == 410:
             return None
-        changes: kv.Changes = self._decoded(status, body, kv.decode_changes)
+        changes: kv.ChangeFeed = self._decoded(status, body, kv.decode_changes)
         return changes
 
 
@@ -154,7 +154,7 @@
     """Keys that a broken-off snapshot or clean-up left behind."""
 
 
-def recover(store: KeyValueStore, replay: LogReplayer, prefix: str = "") -> RecoveredLog:
+def recover(store: KeyValueStore, replayer: LogReplayer, prefix: str = "") -> RecoveredLog:
     """Read snapshot and log of a share's key range into ``replay``."""
     item = store.get(prefix + HEADER_KEY)
     meta, version = LogHeader(), 0
@@ -169,16 +169,16 @@
             value["finals"],
             (first, following, entries),
         )
-        replay.audit_entries_written = entries
+        replayer.audit_entries_written = entries
     leftovers: list[str] = []
     last_final = final_key(meta.final_pages, prefix)
     for row in store.read_all(prefix + FINAL_STATES_PREFIX) if meta.final_pages else []:
         if row.key < last_final:
-            replay.apply_final_states(row.value["records"])
+            replayer.apply_final_states(row.value["records"])
     snap = f"{prefix}{SNAPSHOT_PREFIX}{meta.generation:08d}/"
     for row in store.read_all(prefix + SNAPSHOT_PREFIX):
         if row.key.startswith(snap) and int(row.key[len(snap) :]) < meta.pages:
-            replay.apply(row.value["records"])
+            replayer.apply(row.value["records"])
         else:
             leftovers.append(row.key)
     number, log_bytes = meta.first_entry, 0
@@ -186,7 +186,7 @@
         if row.key < log_key(meta.first_entry, prefix):
             leftovers.append(row.key)
             continue
-        replay.apply(row.value["records"])
+        replayer.apply(row.value["records"])
         log_bytes += json_size(row.value)
         number = int(row.key[len(prefix + LOG_PREFIX) :]) + 1
     return RecoveredLog(meta, version, number, log_bytes, leftovers)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -50,7 +50,7 @@
 
 def job_record(job: Job) -> Record:
     values = [getattr(job.spec, name) for name in _SPEC_FIELDS]
-    if job.spec.seats is None:
+    if job.spec.counted_resources is None:
         # As it was before there were seats: older versions read it, too.
         values.pop()
     record = [JOB, job.index, round(job.submitted, 3), values]
@@ -238,9 +238,9 @@
             return
         job = known
         if kind == ASSIGN:
-            _, _, attempt, machine, session, ranges, *_ = record
+            _, _, attempt, machine, agent_epoch, ranges, *_ = record
             for task in from_ranges(ranges):
-                self.task_locations[(index, task)] = (attempt, machine, session)
+                self.task_locations[(index, task)] = (attempt, machine, agent_epoch)
             job.last_attempt = max(job.last_attempt, attempt)
         elif kind == FREE:
             for task in from_ranges(record[2]):
@@ -302,8 +302,8 @@
         for task, run in job.runs.items():
             key = (run.attempt, run.machine.index, run.agent_epoch)
             by_place.setdefault(key, []).append(task)
-        for (attempt, _, session), tasks in by_place.items():
-            records += assign_records(job, attempt, job.runs[tasks[0]].machine, session, tasks)
+        for (attempt, _, agent_epoch), tasks in by_place.items():
+            records += assign_records(job, attempt, job.runs[tasks[0]].machine, agent_epoch, tasks)
         if job.last_attempt > max((attempt for attempt, _, _ in by_place), default=0):
             # Attempts that are over stay used, too: a number that names two of
             # them names two holders of a seat.
--- a/appleshift/transport/concurrency.py
+++ b/appleshift/transport/concurrency.py
@@ -87,14 +87,14 @@
 class ThreadPool:
     """A bounded set of routines that carry out calls; started when needed."""
 
-    def __init__(self, routines: Runtime, name: str, size: int) -> None:
-        self._routines = routines
+    def __init__(self, runtime: Runtime, name: str, size: int) -> None:
+        self._runtime = runtime
         self._name = name
         self._size = size
         self._started = 0
         self._idle = 0
         self._lock = threading.Lock()
-        self._calls = routines.queue()
+        self._calls = runtime.queue()
         self._stopped = False
 
     def submit(self, call: Callable[..., None], *args: Any) -> None:
@@ -107,7 +107,7 @@
             self._started += 1
             number = self._started
         try:
-            self._routines.spawn(f"{self._name}-{number}", self._run)
+            self._runtime.spawn(f"{self._name}-{number}", self._run)
         except RuntimeError:
             # No more threads to be had. Whoever submits, often the core, goes on; the
             # call waits for a routine that there is, or for the next one's try.
@@ -141,11 +141,11 @@
 class RateLimiter:
     """Keeps calls below a rate with bursts of one second's worth."""
 
-    def __init__(self, routines: Runtime, rate: float) -> None:
-        self._routines = routines
+    def __init__(self, runtime: Runtime, rate: float) -> None:
+        self._runtime = runtime
         self._rate = rate
         self._level = rate
-        self._at = routines.now()
+        self._at = runtime.now()
         self._lock = threading.Lock()
 
     def try_acquire(self) -> bool:
@@ -155,12 +155,12 @@
     def acquire(self) -> None:
         """Take one call's worth, waiting for it if need be."""
         while missing := self._wait_s():
-            self._routines.sleep(missing)
+            self._runtime.sleep(missing)
 
     def _wait_s(self) -> float:
         """0 with one call's worth taken, else how long it takes to come."""
         with self._lock:
-            now = self._routines.now()
+            now = self._runtime.now()
             self._level = min(self._rate, self._level + (now - self._at) * self._rate)
             self._at = now
             # The level fills in floating point: it may miss 1 by a hair.
