--- a/appleshift/contracts/events.py
+++ b/appleshift/contracts/events.py
@@ -22,7 +22,7 @@
 
     @property
     def shard(self) -> int:
-        return int(self.term.share)
+        return int(self.term.shard)
 
 
 class LeadershipLost(msgspec.Struct, frozen=True):
@@ -92,7 +92,7 @@
 
     @property
     def shard(self) -> int:
-        return int(self.term.share)
+        return int(self.term.shard)
 
 
 class CommitSucceeded(TermEvent, frozen=True):
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -34,7 +34,7 @@
         """Do not wait for this machine's next report."""
         self._due_machines.add(machine.index)
         if machine.fast_path_entry is not None:
-            machine.fast_path_entry.known = None
+            machine.fast_path_entry.expected = None
 
     def for_heartbeat(self, machine: Machine) -> list[dict[str, Any]]:
         """Commands for the answer to a report: all of them, for the report
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -72,7 +72,7 @@
         """Take in what reports that said nothing new have left."""
         cell = machine.fast_path_entry
         if cell is not None:
-            at, agent_epoch, seq, hears = cell.heard
+            at, agent_epoch, seq, hears = cell.last_answered
             # Whatever else was heard meanwhile: the answer to a direct command is later,
             # but renews no lease. When only later times counted, leases that had been
             # renewed here were taken for over, and eight tasks ran twice on one day.
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -481,7 +481,7 @@
     def agent_epoch_ended(self, machine: Machine) -> None:
         """The worker killed and forgot all tasks of its session."""
         if machine.fast_path_entry is not None:
-            machine.fast_path_entry.known = None
+            machine.fast_path_entry.expected = None
         runs = list(machine.runs.values())
         machine.runs.clear()
         machine.unknown_runs.clear()
