--- a/appleshift/coordination/pace.py
+++ b/appleshift/coordination/pace.py
@@ -35,9 +35,18 @@
 SOCKETS_SHARE = 0.55
 """Of the sockets; siblings and connections to workers have the rest."""
 SHARED_SOCKETS = 0.7
-MOST_CONNECTIONS = 1600
+OTHER_SOCKETS = 1000
+"""Siblings, connections to workers, the state service and the cloud never need more:
+beyond these, all sockets of a large node are for connections."""
+MOST_CONNECTIONS = 6000
+MOST_THREADS = 1400
+"""Connections beyond these share the threads of a pool. A process may have 2,000 threads."""
+POOL_THREADS = 200
+"""Of that pool. Each is taken for as long as an answer waits for the core, for the leader
+or for the state service."""
 MOST_PEERS = 200
-"""Each has a routine of its own, and a process may have 2,000 threads."""
+"""Each has a thread of its own."""
+MOST_CLIENTS = 600
 MACHINES_SHARE = 0.9
 """Of the connections; users, a few to each node, get the rest."""
 LOAD_GAP_S = 30.0
@@ -51,8 +60,12 @@
 
     connections: int
     """Open connections of workers and users."""
+    threads: int
+    """Connections that have a thread of their own."""
     machines: int
     """Machines whose reports find a place beside the users."""
+    direct_machines: int
+    """Machines that a leader hears itself before it sends others to relays."""
     peers: int
     """Open connections of siblings."""
     calls: int
@@ -71,13 +84,17 @@
         by_memory = limits.memory_mb * CONNECTIONS_SHARE / CONNECTION_MB
         sockets = limits.max_sockets
         share = SHARED_SOCKETS if shared else SOCKETS_SHARE
-        connections = max(8, int(min(sockets * share, by_memory, MOST_CONNECTIONS)))
+        by_sockets = max(sockets * share, sockets - OTHER_SOCKETS)
+        connections = max(8, int(min(by_sockets, by_memory, MOST_CONNECTIONS)))
+        threads = min(connections, MOST_THREADS)
         return cls(
             connections=connections,
+            threads=threads,
             machines=max(4, int(connections * MACHINES_SHARE)),
+            direct_machines=max(4, int(threads * MACHINES_SHARE)),
             peers=max(8, min(MOST_PEERS, int(sockets * 0.06))),
             calls=max(4, min(24, connections // 8)),
-            clients=max(8, int(sockets * (0.15 if shared else 0.3))),
+            clients=max(8, min(MOST_CLIENTS, int(sockets * (0.15 if shared else 0.3)))),
             queued=max(64, int(QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
             rest_s=min(MOST_REST_S, REST_S / limits.core_share),
         )
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -18,7 +18,7 @@
 from appleshift.coordination.leading.leadership import Leadership
 from appleshift.coordination.leading.neighbours import Neighbours
 from appleshift.coordination.outgoing.outbound import CloudCalls, WorkerCalls
-from appleshift.coordination.pace import Capacity, Load
+from appleshift.coordination.pace import POOL_THREADS, Capacity, Load
 from appleshift.coordination.routing.router import RequestRouter
 from appleshift.holding import Holding, House
 from appleshift.intake import routes
@@ -151,13 +151,16 @@
         Whoever has both addresses is the node. Nothing is asked, told or stood for
         before, so what an earlier process of this node does is over by then.
         """
-        settings = self.settings
+        settings, most = self.settings, self._capacity
         doors = (
-            (settings.cluster_listen, self.router.cluster, self._capacity.peers, "cluster"),
-            (settings.listen, self.router.public, self._capacity.connections, "listen"),
+            (settings.cluster_listen, self.router.cluster, most.peers, most.peers, "cluster"),
+            (settings.listen, self.router.public, most.connections, most.threads, "listen"),
         )
-        for address, app, limit, name in doors[len(self._listeners) :]:
-            self._listeners.append(Listener(split_address(address), app, limit, name))
+        for address, app, limit, threads, name in doors[len(self._listeners) :]:
+            listener = Listener(
+                split_address(address), app, limit, name, threads=threads, pool=POOL_THREADS
+            )
+            self._listeners.append(listener)
 
     def start(self) -> None:
         # What was loaded at start lives for good: the collector may skip it.
@@ -322,7 +325,7 @@
         if now < self._next_spread:
             return
         self._next_spread = now + SPREAD_GAP_S
-        places = self._capacity.machines
+        capacity = self._capacity
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
         self._relayed_at = max(self._relayed_at, core.started)
         if relays:
@@ -330,8 +333,9 @@
         elif self.operator.spread_reports and now - self._relayed_at < RELAYS_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        core.fleet.hear(routes.audible(places, relays))
-        share = routes.share(len(core.tables.machines), places, relays, self.election.share_sent)
+        core.fleet.hear(routes.audible(capacity.machines, relays))
+        machines, sent = len(core.tables.machines), self.election.share_sent
+        share = routes.share(machines, capacity.direct_machines, relays, sent)
         if share != self.election.share_sent:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
             self.election.share_sent = share
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -12,6 +12,8 @@
 HELLO_PATH = "/peer/hello"
 REACH_PATH = "/peer/reach"
 REPORTS_PATH = "/peer/reports"
+MOST_REPORTS = 10_000
+"""In one batch; what really bounds it is the size of a request's body."""
 
 
 class PledgeRequest(msgspec.Struct, frozen=True):
@@ -93,7 +95,7 @@
 class ReportBatch(msgspec.Struct, frozen=True):
     """Workers' reports, each as its worker sent it."""
 
-    reports: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=2000)]
+    reports: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MOST_REPORTS)]
 
 
 class RelayedAnswer(msgspec.Struct, frozen=True):
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -1,4 +1,5 @@
-"""An ``http.server`` listener: one routine for each connection, and a bound on them."""
+"""An ``http.server`` listener: a thread for each connection up to a number, beyond it a pool
+of threads for those on which something arrives, and a bound on all of them."""
 
 from __future__ import annotations
 
@@ -13,6 +14,8 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
+from appleshift.transport.idle_connections import IdleConnections
+
 log = logging.getLogger(__name__)
 
 IDLE_S = 30.0
@@ -71,9 +74,12 @@
     raw_requestline: bytes
 
     def handle_one_request(self) -> None:
-        self.server.expect(self.connection, IDLE_S, idle=True)
+        self._expect_request()
         super().handle_one_request()
 
+    def _expect_request(self) -> None:
+        self.server.expect(self.connection, IDLE_S, idle=True)
+
     def parse_request(self) -> bool:
         """Read the head. ``http.server`` parses it as if it were mail, which
         took a third of the time that a worker's report costs."""
@@ -174,6 +180,45 @@
         log.debug(format, *args)
 
 
+class PooledHandler(Handler):
+    """A connection without a thread of its own: a thread of the pool serves what arrives."""
+
+    def handle(self) -> None:
+        """Called when it is made: nothing has arrived yet."""
+
+    def finish(self) -> None:
+        """Called when it is made: ``close`` ends it."""
+
+    def close(self) -> None:
+        super().finish()
+
+    def _expect_request(self) -> None:
+        # Its first bytes are there; a thread waits for the others.
+        self.server.expect(self.connection, REQUEST_S)
+
+    def serve_arrived(self) -> bool:
+        """Answer the requests that have begun to arrive; False: the connection is over."""
+        try:
+            self.handle_one_request()
+            while not self.close_connection and self._more_arrived():
+                self.handle_one_request()
+        except Exception:
+            self.server.handle_error(self.connection, self.client_address)
+            return False
+        if not self.close_connection:
+            self.server.expect(self.connection, IDLE_S, idle=True)
+        return not self.close_connection
+
+    def _more_arrived(self) -> bool:
+        """Whether the next request was read together with the last one: nobody else
+        would see that it is there."""
+        self.connection.setblocking(False)
+        try:
+            return bool(self.rfile.peek(1))  # type: ignore[attr-defined]
+        finally:
+            self.connection.setblocking(True)
+
+
 @dataclass(slots=True)
 class _Wait:
     """What a connection waits for, and until when it may."""
@@ -196,14 +241,30 @@
     allow_reuse_address = True
     request_queue_size = 128
 
-    def __init__(self, address: tuple[str, int], app: App, limit: int, name: str) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        app: App,
+        limit: int,
+        name: str,
+        threads: int | None = None,
+        pool: int = 1,
+    ) -> None:
+        """``threads``: so many connections have a thread of their own, without a number
+        all of them; the others share ``pool`` threads."""
         self._slots = threading.BoundedSemaphore(limit)
+        self._own_threads = threading.BoundedSemaphore(limit if threads is None else threads)
         self._name = name
         # Of the open connections; each is written by its own routine only.
         self._waits: dict[socket.socket, _Wait] = {}
         self._next_sweep = self._next_say = 0.0
         self._limit, self._refused = limit, 0
-        handler = type("BoundHandler", (Handler,), {"app": staticmethod(app)})
+        bound = {"app": staticmethod(app)}
+        handler = type("BoundHandler", (Handler,), bound)
+        self._pooled_handler = type("BoundPooledHandler", (PooledHandler,), bound)
+        self._idle: IdleConnections[PooledHandler] | None = None
+        if threads is not None and threads < limit:
+            self._idle = IdleConnections(name, pool, self._close_pooled)
         super().__init__(address, handler)
 
     def server_bind(self) -> None:
@@ -226,11 +287,15 @@
             self.shutdown_request(request)
             self._make_place()
             return
+        if not self._own_threads.acquire(blocking=False) and self._idle is not None:
+            self._process_pooled(request, client_address, self._idle)
+            return
         try:
             super().process_request(request, client_address)
         except RuntimeError:
             # No more threads to be had.
             self._refused += 1
+            self._own_threads.release()
             self._slots.release()
             self.shutdown_request(request)
 
@@ -240,6 +305,31 @@
             super().process_request_thread(request, client_address)
         finally:
             self._waits.pop(request, None)
+            self._own_threads.release()
+            self._slots.release()
+
+    def _process_pooled(
+        self, request: Any, client_address: Any, idle: IdleConnections[PooledHandler]
+    ) -> None:
+        try:
+            handler = self._pooled_handler(request, client_address, self)
+        except OSError:
+            self.handle_error(request, client_address)
+            self._slots.release()
+            self.shutdown_request(request)
+            return
+        self.expect(request, IDLE_S, idle=True)
+        idle.add(handler)
+
+    def _close_pooled(self, handler: PooledHandler) -> None:
+        try:
+            handler.close()
+        except OSError:
+            # What was still to be sent finds nobody.
+            self.handle_error(handler.connection, handler.client_address)
+        finally:
+            self.shutdown_request(handler.connection)
+            self._waits.pop(handler.connection, None)
             self._slots.release()
 
     def service_actions(self) -> None:
@@ -269,7 +359,8 @@
 
     @staticmethod
     def _break(connection: socket.socket) -> None:
-        """Its routine, blocked in a read or a write, ends and cleans up."""
+        """Its routine, blocked in a read or a write, or the one that watches it while it is
+        idle, ends and cleans up."""
         try:
             connection.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -290,3 +381,5 @@
         self.server_close()
         for connection in list(self._waits):
             self._break(connection)
+        if self._idle is not None:
+            self._idle.stop()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,7 +5,7 @@
 import queue
 import socket
 import threading
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from typing import Any
 
 import pytest
@@ -207,6 +207,177 @@
     silent.close()
 
 
+@pytest.fixture
+def pooled(monkeypatch: pytest.MonkeyPatch) -> Iterator[Listener]:
+    """Two connections with threads of their own; 38 others share two."""
+    monkeypatch.setattr(server, "REQUEST_S", 0.3)
+    monkeypatch.setattr(server, "SWEEP_S", 0.1)
+    made = Listener(
+        ("127.0.0.1", 0),
+        lambda request: Response(200, request.body),
+        limit=40,
+        name="test",
+        threads=2,
+        pool=2,
+    )
+    made.start()
+    yield made
+    made.stop()
+
+
+def kept(listener: Listener, count: int) -> list[HttpClient]:
+    """Clients that have asked once and keep their connections."""
+    clients = [HttpClient(listener.server_address[:2]) for _ in range(count)]
+    for client in clients:
+        assert client.request("POST", "/", b"first")[1] == b"first"
+    return clients
+
+
+def connected(listener: Listener, count: int) -> list[socket.socket]:
+    held = []
+    for number in range(1, count + 1):
+        held.append(socket.create_connection(listener.server_address[:2], timeout=5.0))
+        until(lambda number=number: listener.connections() == number)
+    return held
+
+
+def until(reached: Callable[[], bool]) -> None:
+    for _ in range(500):
+        if reached():
+            return
+        threading.Event().wait(0.01)
+    pytest.fail("not reached in five seconds")
+
+
+def test_more_kept_connections_than_threads_are_served(pooled: Listener) -> None:
+    before = threading.active_count()
+    clients = kept(pooled, 40)
+    assert pooled.connections() == 40
+    # Two of their own, two of the pool, the watcher.
+    assert threading.active_count() <= before + 5
+    answers: Any = queue.SimpleQueue()
+
+    def ask(client: HttpClient) -> None:
+        for number in range(10):
+            body = str(number).encode() * 5000
+            answers.put(client.request("POST", "/", body)[1] == body)
+
+    asking = [threading.Thread(target=ask, args=(client,)) for client in clients]
+    for each in asking:
+        each.start()
+    for each in asking:
+        each.join()
+    assert [answers.get_nowait() for _ in range(400)] == [True] * 400
+    assert pooled.connections() == 40, "each was kept"
+    for client in clients:
+        client.close()
+    until(lambda: pooled.connections() == 0)
+    assert kept(pooled, 40), "all places came back"
+
+
+def test_pooled_requests_that_come_in_one_packet_are_all_answered(pooled: Listener) -> None:
+    held = connected(pooled, 3)
+    held[2].sendall(b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\none" * 3)
+    answer = b""
+    while answer.count(b"one") < 3:
+        answer += held[2].recv(65536)
+    assert answer.count(b"HTTP/1.1 200") == 3
+    for each in held:
+        each.close()
+
+
+@pytest.mark.parametrize("begun", [b"P", b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"])
+def test_a_pooled_request_that_does_not_come_whole_frees_its_thread(
+    pooled: Listener, begun: bytes
+) -> None:
+    held = connected(pooled, 6)
+    for each in held[2:]:
+        each.sendall(begun)
+    # Both threads of the pool wait for the rest, and two others for a thread.
+    for each in held[2:]:
+        assert each.recv(10) == b""
+    assert kept(pooled, 3)
+    for each in held:
+        each.close()
+
+
+def test_a_pooled_connection_is_closed_once_it_is_idle_for_too_long(
+    pooled: Listener, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(server, "IDLE_S", 0.4)
+    held = connected(pooled, 4)
+    held[3].sendall(b"GET / HTTP/1.1\r\n\r\n")
+    assert held[3].recv(1000).startswith(b"HTTP/1.1 200")
+    for each in held:
+        assert each.recv(10) == b""
+        each.close()
+    until(lambda: pooled.connections() == 0)
+
+
+def test_pooled_connections_that_are_only_held_lose_them_to_others(
+    pooled: Listener, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    held = connected(pooled, 40)
+    # The oldest two, which have threads, are not what is looked for here.
+    for each in held[:2]:
+        each.sendall(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n")
+    monkeypatch.setattr(server, "CROWDED_IDLE_S", 0.0)
+    refused = socket.create_connection(pooled.server_address[:2], timeout=5.0)
+    assert refused.recv(10) == b""
+    assert held[2].recv(10) == b"", "the one that was idle for the longest"
+    until(lambda: pooled.connections() < 40)
+    assert kept(pooled, 1)
+    for each in [*held, refused]:
+        each.close()
+
+
+def test_a_pooled_answer_that_nobody_takes_ends_its_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(server, "ANSWER_S", 0.3)
+    monkeypatch.setattr(server, "SWEEP_S", 0.1)
+    large = Response(200, b"x" * 30_000_000)
+    made = Listener(("127.0.0.1", 0), lambda _: large, limit=3, name="test", threads=1, pool=1)
+    made.start()
+    held = connected(made, 2)
+    held[1].sendall(b"GET / HTTP/1.1\r\n\r\n")
+    until(lambda: made.connections() == 1)
+    for each in held:
+        each.close()
+    made.stop()
+
+
+def test_an_application_error_ends_a_pooled_connection_and_no_thread() -> None:
+    def app(request: Request) -> Response:
+        if request.path == "/broken":
+            raise RuntimeError("broken")
+        return Response(200)
+
+    made = Listener(("127.0.0.1", 0), app, limit=9, name="test", threads=1, pool=1)
+    made.start()
+    [own] = connected(made, 1)
+    for _ in range(3):
+        client = HttpClient(made.server_address[:2])
+        with pytest.raises(ClientError):
+            client.request("GET", "/broken", timeout=2.0)
+    assert HttpClient(made.server_address[:2]).request("GET", "/")[0] == 200
+    own.close()
+    made.stop()
+
+
+def test_stop_closes_pooled_connections_and_ends_their_threads(pooled: Listener) -> None:
+    before = threading.active_count()
+    held = connected(pooled, 10)
+    for each in held:
+        each.sendall(b"GET / HTTP/1.1\r\n\r\n")
+        assert each.recv(1000).startswith(b"HTTP/1.1 200")
+    pooled.stop()
+    for each in held:
+        assert each.recv(10) == b""
+        each.close()
+    until(lambda: threading.active_count() < before)
+
+
 def test_application_errors_do_not_end_the_listener() -> None:
     def app(request: Request) -> Response:
         raise RuntimeError("broken")
