--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -359,8 +359,8 @@
 
     @staticmethod
     def _break(connection: socket.socket) -> None:
-        """Its routine, blocked in a read or a write, or the one that watches it while it is
-        idle, ends and cleans up."""
+        """Its routine, blocked in a read or a write, ends and cleans up; without one, a
+        routine of the pool finds it at its end."""
         try:
             connection.shutdown(socket.SHUT_RDWR)
         except OSError:
