--- a/appleshift/coordination/pace.py
+++ b/appleshift/coordination/pace.py
@@ -87,15 +87,20 @@
         by_sockets = max(sockets * share, sockets - OTHER_SOCKETS)
         connections = max(8, int(min(by_sockets, by_memory, MOST_CONNECTIONS)))
         threads = min(connections, MOST_THREADS)
+        machines = max(4, int(connections * MACHINES_SHARE))
+        direct_machines = max(4, int(threads * MACHINES_SHARE))
+        # After a takeover each machine's first report may come at once. A large fleet's
+        # must not count as so much work that users are refused.
+        queued = int(QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))
         return cls(
             connections=connections,
             threads=threads,
-            machines=max(4, int(connections * MACHINES_SHARE)),
-            direct_machines=max(4, int(threads * MACHINES_SHARE)),
+            machines=machines,
+            direct_machines=direct_machines,
             peers=max(8, min(MOST_PEERS, int(sockets * 0.06))),
             calls=max(4, min(24, connections // 8)),
             clients=max(8, min(MOST_CLIENTS, int(sockets * (0.15 if shared else 0.3)))),
-            queued=max(64, int(QUEUE_S * EVENTS_A_CORE_S * min(1.0, limits.core_share))),
+            queued=max(64, queued + machines - direct_machines),
             rest_s=min(MOST_REST_S, REST_S / limits.core_share),
         )
 
--- a/appleshift/shares/reporting.py
+++ b/appleshift/shares/reporting.py
@@ -80,7 +80,8 @@
                 changed.append(MachineNow(machine.name, kind, zone, machine.spot, state, idle))
             if len(changed) >= MACHINES_A_CALL:
                 break
-        for name in [name for name in self._said if tables.machine(name) is None]:
+        gone = [name for name in self._said if tables.machine(name) is None]
+        for name in gone[:MACHINES_A_CALL]:
             state = MOVED if name in tables.given else GONE
             changed.append(MachineNow(name, "", "", False, state, False))
         self._flying = {each.name: (each.state, each.idle) for each in changed}
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -51,12 +51,15 @@
         most = Capacity.of(MachineLimits(core_share=0.3, memory_mb=276.0, max_sockets=sockets))
         assert (most.connections, most.threads, most.clients) == (connections, connections, clients)
         assert most.machines == most.direct_machines == int(connections * 0.9)
+        assert most.queued == 1200
 
 
 def test_three_nodes_hear_four_thousand_machines_while_one_is_away() -> None:
     most = Capacity.of(MachineLimits(core_share=1.0, memory_mb=1200.0, max_sockets=6000))
     # The leader and one relay, of which the reserve counts one as fallen.
     assert routes.audible(most.machines, 1) > 4400
+    # Users' questions are refused from three quarters of what may wait.
+    assert most.queued * 0.75 > 4400, "a report of each machine at once"
     # With both relays no node needs the pool, as before there was one.
     share = routes.share(4000, most.direct_machines, 2, 0.0)
     assert 4000 * max(share / 2, 1 - share) < most.threads
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,15 +6,20 @@
 from functools import partial
 from itertools import groupby
 from statistics import median
+from types import SimpleNamespace
 from typing import Any
 
 import pytest
 
+from appleshift.bookkeeping.tables import UP as MACHINE_UP
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.shares import Epoch
+from appleshift.protocol.shares import GONE, UP, Epoch, Plan, ShareCall
+from appleshift.protocol.wire import MAX_BODY, encode
 from appleshift.shares.assignment import MOVE_GAP_S, SETTLED_S, Controller, Steward, heirs
 from appleshift.shares.map import ShareMap, epoch
+from appleshift.shares.reporting import Reporting
+from tests import make
 from tests.faults import heal, outages, unleash
 from tests.sites import LARGE, SMALL, Site
 from tests.world import Host, World
@@ -23,6 +28,40 @@
 TEAMS = [TeamLimits("red"), TeamLimits("blue", gpus=4.0)]
 
 
+# -- what the leader is told, by itself --------------------------------------------------
+
+
+def test_a_share_that_loses_thousands_of_machines_says_so_in_calls_that_fit() -> None:
+    """All that were gone stood in one call: beyond some 4,000, or 2,500 beside 600 that had
+    changed, it was refused, again and again."""
+    table = make.tables([])
+    for number in range(4500):
+        machine = table.add_machine(f"i-{number:06d}", "small", "a", False)
+        assert machine is not None
+        machine.status, machine.session = MACHINE_UP, 1
+    table.types = []
+    fleet = SimpleNamespace(shortages=[], steady_spare={})
+    core: Any = SimpleNamespace(tables=table, token=1, fleet=fleet)
+    handing: Any = None
+    reporting = Reporting(core, 1, handing)
+    plan = Plan(1, [], [], 0.0)
+
+    def told() -> dict[int, int]:
+        counts: dict[int, int] = {}
+        for _ in range(12):
+            digest = reporting.digest(0.0)
+            assert len(encode(ShareCall(0, digest))) < MAX_BODY
+            reporting.planned(plan)
+            for each in digest.machines:
+                counts[each.state] = counts.get(each.state, 0) + 1
+        return counts
+
+    assert told() == {UP: 4500}
+    for machine in list(table.machines.values()):
+        table.drop_machine(machine)
+    assert told() == {GONE: 4500}
+
+
 # -- the map and the assignment, by themselves ----------------------------------------
 
 
