--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -239,7 +239,8 @@
     daemon_threads = True
     block_on_close = False
     allow_reuse_address = True
-    request_queue_size = 128
+    # All workers come at once after a takeover; the system bounds it as well.
+    request_queue_size = 4096
 
     def __init__(
         self,
