--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -20,7 +20,7 @@
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.peer_monitor import PeerMonitor
-from appleshift.node_limits.node_limits import LoadMonitor, NodeLimits
+from appleshift.node_limits.node_limits import POOL_THREADS, LoadMonitor, NodeLimits
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
@@ -151,13 +151,16 @@
         Whoever has both addresses is the node. Nothing is asked, told or stood for
         before, so what an earlier process of this node does is over by then.
         """
-        settings = self.settings
+        settings, limits = self.settings, self._limits
         doors = (
-            (settings.cluster_listen, self.router.cluster, self._limits.peers, "cluster"),
-            (settings.listen, self.router.public, self._limits.connections, "listen"),
+            (settings.cluster_listen, self.router.cluster, limits.peers, limits.peers, "cluster"),
+            (settings.listen, self.router.public, limits.connections, limits.threads, "listen"),
         )
-        for address, app, limit, name in doors[len(self._listeners) :]:
-            self._listeners.append(HttpListener(split_address(address), app, limit, name))
+        for address, app, limit, threads, name in doors[len(self._listeners) :]:
+            listener = HttpListener(
+                split_address(address), app, limit, name, threads=threads, pool=POOL_THREADS
+            )
+            self._listeners.append(listener)
 
     def start(self) -> None:
         # What was loaded at start lives for good: the collector may skip it.
@@ -336,7 +339,7 @@
         if now < self._next_relay_update:
             return
         self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
-        places = self._limits.machines
+        limits = self._limits
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
         self._relays_seen_at = max(self._relays_seen_at, scheduler.started)
         if relays:
@@ -344,9 +347,12 @@
         elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
             # After a takeover nodes take a moment to say that they reach this one.
             return
-        scheduler.fleet.set_max_machines(relay_assignment.max_machines(places, relays))
+        scheduler.fleet.set_max_machines(relay_assignment.max_machines(limits.machines, relays))
         share = relay_assignment.next_relayed_fraction(
-            len(scheduler.cluster.machines), places, relays, self.election.relayed_fraction
+            len(scheduler.cluster.machines),
+            limits.direct_machines,
+            relays,
+            self.election.relayed_fraction,
         )
         if share != self.election.relayed_fraction:
             log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -12,6 +12,8 @@
 PEER_STATUS_PATH = "/peer/hello"
 CONNECTIVITY_PATH = "/peer/reach"
 HEARTBEAT_BATCH_PATH = "/peer/reports"
+MAX_BATCHED_HEARTBEATS = 10_000
+"""In one batch; what really bounds it is the size of a request's body."""
 
 
 class LeaseVoteRequest(
@@ -124,7 +126,7 @@
 class HeartbeatBatch(msgspec.Struct, frozen=True, rename={"heartbeats": "reports"}):
     """Workers' reports, each as its worker sent it."""
 
-    heartbeats: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=2000)]
+    heartbeats: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MAX_BATCHED_HEARTBEATS)]
 
 
 class RelayedResponse(msgspec.Struct, frozen=True):
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -83,7 +83,8 @@
                 changed.append(MachineSummary(machine.name, kind, zone, machine.spot, state, idle))
             if len(changed) >= MAX_MACHINES_PER_CALL:
                 break
-        for name in [name for name in self._acknowledged if cluster.machine(name) is None]:
+        gone = [name for name in self._acknowledged if cluster.machine(name) is None]
+        for name in gone[:MAX_MACHINES_PER_CALL]:
             state = MOVED if name in cluster.handed_off else GONE
             changed.append(MachineSummary(name, "", "", False, state, False))
         self._in_flight = {each.name: (each.state, each.idle) for each in changed}
