--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of appleshift; their packages mirror those of the program."""
--- /dev/null
+++ b/tests/api/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the controllers' API."""
--- /dev/null
+++ b/tests/connectivity/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of what a node can connect to."""
--- /dev/null
+++ b/tests/counted_resources/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of counted resources, such as licenses."""
--- /dev/null
+++ b/tests/dispatch/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the commands that are sent to workers."""
--- /dev/null
+++ b/tests/dispatch/test_worker_commands.py
@@ -0,0 +1,58 @@
+"""Commands to workers: when they are sent, sent again, and withheld."""
+
+from __future__ import annotations
+
+import msgspec
+
+from appleshift.contracts.actions import (
+    SendCommands,
+)
+from appleshift.protocol.workers import TaskStatus
+from tests.support.scheduler_bench import Bench, history
+
+
+def test_assignment_not_in_heartbeat_is_resent() -> None:
+    bench = Bench(history())
+    assert [order["verb"] for order in bench.report(token=6)] == ["run"]
+    orders = bench.report(TaskStatus("job-000000/0", 1, "running"))
+    assert "job-000000/0" not in [order["piece"] for order in orders]
+
+
+def test_start_command_is_sent_only_after_assignment_is_durable() -> None:
+    bench = Bench(history())
+    bench.report(TaskStatus("job-000000/0", 1, "running"))
+    bench.step(0.1)
+    assert 1 in bench.scheduler.cluster.jobs[0].runs
+    assert not [action for action in bench.step(0.1) if isinstance(action, SendCommands)]
+    assert bench.report(TaskStatus("job-000000/0", 1, "running")) == []
+    bench.durable()
+    (push,) = [action for action in bench.step(0.1) if isinstance(action, SendCommands)]
+    assert [(order["verb"], order["piece"]) for order in push.commands] == [("run", "job-000000/1")]
+
+
+def test_task_exit_is_cleared_only_when_durable_and_no_start_in_flight() -> None:
+    bench = Bench(history())
+    exited = TaskStatus("job-000000/0", 1, "exited", "done")
+    assert bench.report(exited) == []
+    bench.durable()
+    assert [order["verb"] for order in bench.report(exited)] == ["clear"]
+    bench.step(0.1)
+    bench.durable()
+    (push,) = [action for action in bench.step(0.1) if isinstance(action, SendCommands)]
+    bench.scheduler.commands.commands_sent("m", 1, push.starts, "unknown", None)
+    second = TaskStatus("job-000000/1", 2, "exited", "done")
+    bench.report(second)
+    bench.durable()
+    assert bench.report(second) == [], "the direct start may arrive again, much later"
+
+
+def test_heartbeat_with_many_unknown_tasks_gets_response_within_size_limit() -> None:
+    bench = Bench(history())
+    strange = [TaskStatus(f"job-{number:06d}/1", 1, "running") for number in range(100, 1000)]
+    first = bench.report(*strange)
+    assert len(msgspec.json.encode(first)) < 60 * 1024
+    # What the first answer could not hold comes with the next one.
+    ended = {command["piece"] for command in first}
+    left = [task for task in strange if task.task not in ended]
+    assert left
+    assert {command["piece"] for command in bench.report(*left)} & {task.task for task in left}
--- a/tests/golden/surface_adapter.py
+++ b/tests/golden/surface_adapter.py
@@ -25,9 +25,9 @@
 from appleshift.protocol.settings import Settings, SettingsError, load_settings
 from appleshift.protocol.wire import decode, encode
 from appleshift.transport.server import Request
-from tests.licences import LicenceServer
-from tests.sites import SMALL
-from tests.world import LICENCES, World
+from tests.support.deployments import SMALL
+from tests.support.license_server import LicenceServer
+from tests.support.simulated_world import LICENCES, World
 
 # -- the platform's settings ------------------------------------------------------------
 
--- /dev/null
+++ b/tests/heartbeat_ingest/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of heartbeats that are received through every node."""
--- /dev/null
+++ b/tests/leader_election/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of leader election and its quorum of lease votes."""
--- /dev/null
+++ b/tests/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of machine liveness and health."""
--- /dev/null
+++ b/tests/measurements/__init__.py
@@ -0,0 +1,1 @@
+"""Scripts that measure costs; none of them is a test."""
--- /dev/null
+++ b/tests/objectives/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of achieved objectives by class and team."""
--- /dev/null
+++ b/tests/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of placement, preemption and fair share."""
--- /dev/null
+++ b/tests/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of settings files and of decoding what comes from outside."""
--- /dev/null
+++ b/tests/provisioning/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the capacity planner."""
--- /dev/null
+++ b/tests/provisioning/test_scale_out.py
@@ -0,0 +1,83 @@
+"""Scale out: its bound, and what a listing of the cloud proves."""
+
+from __future__ import annotations
+
+import msgspec
+
+from appleshift.contracts.actions import (
+    DeleteMachines,
+    ProbeMachine,
+    RentMachines,
+)
+from appleshift.protocol.cloud import decode_list
+from appleshift.protocol.settings import MachineLimits
+from appleshift.protocol.workers import Heartbeat
+from tests.support.builders import submission
+from tests.support.deployments import SMALL
+from tests.support.scheduler_bench import Bench, history
+
+
+def test_cloud_listing_with_malformed_rows_is_partial_and_proves_no_deletion() -> None:
+    rows = [
+        {"name_id": f"i-{number:06d}", "rig_kind": "small", "yard": "a", "loaners": False,
+         "status": "running", "age_s": 5.0, "addr": f"10.1.0.{number}:9000"}
+        for number in range(200)
+    ]  # fmt: skip
+    page = decode_list(msgspec.msgpack.encode({"rigs": [*rows, 7, {"name_id": []}, None]}))
+    assert len(page.machines) == 200
+    assert not page.whole
+    bench = Bench(history())
+    bench.scheduler.fleet.machines_listed(page.machines, page.whole)
+    assert len(bench.scheduler.cluster.machines) == 201
+    machine = bench.scheduler.cluster.machine("i-000007")
+    assert machine is not None
+    for whole, gone in ((False, False), (True, True)):
+        bench.now += 200.0
+        bench.scheduler.now = bench.now
+        bench.scheduler.fleet.machines_listed([], whole)
+        assert machine.deletion_requested is gone
+
+
+def test_scale_out_is_bounded_by_heartbeat_capacity() -> None:
+    """Three times the fleet once rented 8,677 machines where 1,830 could be: what
+    was up and found no place was given up, and others rented in its stead."""
+    settings = SMALL.settings_for("n0")
+    limits = MachineLimits(core_share=1.0, memory_mb=256.0, max_sockets=55)
+    deployment = msgspec.structs.replace(settings.deployment, machine_limits=limits)
+    bench = Bench(history(), msgspec.structs.replace(settings, deployment=deployment))
+    fleet = bench.scheduler.fleet
+    fleet.list_seen = True
+    for number in range(1, 40):
+        spec = submission(id=f"job-{number:06d}", tasks=40, cpus=4.0, spot=False)
+        bench.scheduler.job_requests.submit(spec, "user", 5000.0)
+    asked: set[str] = set()
+    rented: list[str] = []
+    for _ in range(240):
+        bench.durable()
+        for action in bench.step(0.5):
+            if isinstance(action, RentMachines):
+                names = [f"i-{len(rented) + n}" for n in range(action.count)]
+                rented += names
+                fleet.rental_answered(action.request, names, False)
+            elif isinstance(action, ProbeMachine):
+                # It is up, though its reports find no place.
+                asked.add(action.machine)
+                machine = bench.scheduler.cluster.machine(action.machine)
+                assert machine is not None
+                kind = bench.scheduler.cluster.types[machine.type].name
+                report = Heartbeat(
+                    action.machine, "10.1.0.9:1", kind, "a", False, 1, machine.seq + 1, 7, []
+                )
+                bench.scheduler.probe_answered(action.machine, report)
+            elif isinstance(action, DeleteMachines):
+                bench.scheduler.deletion_answered(action.machines, True)
+        rows = [
+            {"name_id": name, "addr": "10.1.0.9:1", "rig_kind": "small", "yard": "a",
+             "loaners": False, "status": "running", "age_s": 1.0}
+            for name in rented
+        ]  # fmt: skip
+        listed = decode_list(msgspec.msgpack.encode({"rigs": rows, "truncated": False}))
+        fleet.machines_listed(listed.machines, False)
+    assert fleet.max_machines == 27
+    assert len(rented) == fleet.max_machines - 1, "one machine was there before"
+    assert len(asked) >= len(rented), "a late boot is asked before it is given up"
--- /dev/null
+++ b/tests/scheduler/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the scheduler of one leader term."""
--- /dev/null
+++ b/tests/sharding/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of shards and of machines that move between them."""
--- /dev/null
+++ b/tests/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Seeded days of a whole deployment, and the invariants checked on them."""
--- /dev/null
+++ b/tests/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the write-ahead log and its snapshots."""
--- a/tests/seats_model.py
+++ b/tests/support/counted_resources_model.py
@@ -30,9 +30,9 @@
 from appleshift.storage import records
 from appleshift.storage.records import LogReplayer
 from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog
-from tests.make import KINDS, submission
-from tests.sites import LEASE_S, SMALL
-from tests.test_core import Always
+from tests.support.builders import KINDS, submission
+from tests.support.deployments import LEASE_S, SMALL
+from tests.support.scheduler_bench import Always
 
 TOTALS = {"a": 3, "b": 2}
 OPERATOR = OperatorSettings(
--- a/tests/faults.py
+++ b/tests/support/fault_injection.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from tests.sites import CANCEL_S, LEASE_S
-from tests.world import STATE, World
+from tests.support.deployments import CANCEL_S, LEASE_S
+from tests.support.simulated_world import STATE, World
 
 
 def _crash_one(world: World) -> None:
--- a/tests/licences.py
+++ b/tests/support/license_server.py
@@ -6,7 +6,7 @@
 from typing import Any
 from urllib.parse import unquote, urlsplit
 
-from tests.standins import Clock, Reply
+from tests.support.stand_ins import Clock, Reply
 
 
 @dataclass
--- a/tests/planted.py
+++ b/tests/support/planted_defects.py
@@ -7,7 +7,7 @@
 import pytest
 
 from appleshift.cli import main
-from tests.test_seats_world import give_at_the_kill_order
+from tests.counted_resources.test_counted_resources_simulation import give_at_the_kill_order
 
 if __name__ == "__main__":
     give_at_the_kill_order(pytest.MonkeyPatch())
--- /dev/null
+++ b/tests/support/scheduler_bench.py
@@ -0,0 +1,99 @@
+"""A scheduler whose records become durable when a test says so."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from appleshift.contracts.actions import (
+    Reply,
+)
+from appleshift.counted_resources.audit_log import AuditLog
+from appleshift.counted_resources.scheduler_part import build
+from appleshift.protocol.operator import OperatorSettings
+from appleshift.protocol.settings import Settings
+from appleshift.protocol.workers import Heartbeat, TaskStatus
+from appleshift.scheduler.scheduler import Scheduler
+from appleshift.state.cluster_state import ClusterState
+from appleshift.storage import records
+from appleshift.storage.records import LogReplayer
+from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog
+from tests.support.builders import KINDS, submission
+from tests.support.deployments import SMALL
+
+
+class Always:
+    def may_write(self, now: float) -> bool:
+        return True
+
+    def may_answer(self, now: float) -> bool:
+        return True
+
+
+class Bench:
+    """A core whose records become durable when the test says so."""
+
+    def __init__(
+        self,
+        history: list[list[Any]],
+        settings: Settings | None = None,
+        operator: OperatorSettings | None = None,
+        token: int = 7,
+    ) -> None:
+        self.now = 100.0
+        settings = settings or SMALL.settings_for("n0")
+        operator = operator or OperatorSettings()
+        replayer = LogReplayer(
+            ClusterState(["a", "b"], SMALL.settings_for("n0").deployment.teams), AuditLog
+        )
+        replayer.apply(records.machine_type_records(KINDS))
+        replayer.apply(history)
+        write_ahead_log = WriteAheadLog(
+            "leader", 1, f"t{token}", 100.0, 8192, 8, LogHeader(), 0, 1, now=100.0
+        )
+        self.seats = build(operator, replayer, write_ahead_log, token, 5000.0)
+        self.log: list[list[Any]] = [*history]
+        self.scheduler = Scheduler(
+            settings, operator, Always(), token, replayer, write_ahead_log, lambda: self.now,
+            5000.0, self.seats,
+        )  # fmt: skip
+        self.seq = 0
+
+    def durable(self) -> None:
+        while (txn := self.scheduler.write_ahead_log.next_transaction(self.now)) is not None:
+            for change in txn.changes:
+                self.log += change.get("v", {}).get("records", [])
+            self.scheduler.commit_succeeded(9)
+
+    def step(self, seconds: float) -> list[Any]:
+        self.now += seconds
+        self.scheduler.step(self.now, 5000.0 + self.now)
+        return self.scheduler.take_actions()
+
+    def report(
+        self, *tasks: TaskStatus, token: int = 7, session: int = 1, machine: str = "m"
+    ) -> list[dict[str, Any]]:
+        """A machine reports; returns the orders it gets."""
+        self.seq += 1
+        self.scheduler.now = self.now
+        addr = f"10.1.0.{len(machine)}:9000"
+        report = Heartbeat(machine, addr, "large", "a", False, session, self.seq, token, [*tasks])
+        self.scheduler.heartbeat_received(report, "slot")
+        actions = self.scheduler.take_actions()
+        known = self.scheduler.cluster.machine(machine)
+        if known is not None and known.probe_in_flight:
+            # Heard for the first time, or late: asked whether it hears, it answers.
+            self.seq += 1
+            self.scheduler.probe_answered(machine, msgspec.structs.replace(report, seq=self.seq))
+            actions += self.scheduler.take_actions()
+        replies = [action for action in actions if isinstance(action, Reply)]
+        orders: list[dict[str, Any]] = replies[-1].body["orders"]
+        return orders
+
+
+def history(*more: list[Any]) -> list[list[Any]]:
+    cluster = ClusterState([], [])
+    job = cluster.add_job(0, submission(id="job-000000", tasks=2), 4990.0)
+    machine = ["M", "m", "10.1.0.1:9000", "large", "a", False]
+    return [records.job_record(job), machine, ["A", 0, 1, "m", 1, [0, 0]], *more]
--- a/tests/shares_model.py
+++ b/tests/support/sharding_model.py
@@ -24,10 +24,10 @@
 from appleshift.storage import records
 from appleshift.storage.records import LogReplayer
 from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog
-from tests.make import KINDS, submission
-from tests.seats_model import Rig
-from tests.sites import SMALL
-from tests.test_core import Always
+from tests.support.builders import KINDS, submission
+from tests.support.counted_resources_model import Rig
+from tests.support.deployments import SMALL
+from tests.support.scheduler_bench import Always
 
 MAP = ShardMap([ShardMapEpoch(3, "", ["cards"], [1, 2], [1, 2])])
 HOME, OTHER = 1, 2
--- a/tests/world.py
+++ b/tests/support/simulated_world.py
@@ -22,11 +22,19 @@
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.transport.client import ClientError, HttpAnswer
 from appleshift.transport.server import Request
-from tests.licences import LicenceServer
-from tests.rules import Rules, Seen
-from tests.sim import Sim, SimRoutines
-from tests.sites import CANCEL_S, GANG_PEER_S, GANG_WAIT_S, LEASE_S, REPORT_S, SMALL, Site
-from tests.standins import Cloud, Reply, Rig, StateService, Task, Worker
+from tests.support.deployments import (
+    CANCEL_S,
+    GANG_PEER_S,
+    GANG_WAIT_S,
+    LEASE_S,
+    REPORT_S,
+    SMALL,
+    Site,
+)
+from tests.support.invariants import Rules, Seen
+from tests.support.license_server import LicenceServer
+from tests.support.stand_ins import Cloud, Reply, Rig, StateService, Task, Worker
+from tests.support.virtual_time import Sim, SimRoutines
 
 LICENCES = "10.3.0.1:27000"
 STATE = "10.2.0.1:2379"
--- a/tests/waiting.py
+++ b/tests/support/starvation_check.py
@@ -9,8 +9,8 @@
 
 from collections import Counter
 
-from tests.rules import Rules, Seen
-from tests.standins import Worker
+from tests.support.invariants import Rules, Seen
+from tests.support.stand_ins import Worker
 
 MOST_S = 90.0
 STEP_S = 1.0
--- a/tests/test_public_surface.py
+++ b/tests/test_public_surface.py
@@ -19,7 +19,7 @@
 import pytest
 
 from tests.golden import surface_adapter as adapter
-from tests.loopback import free_ports
+from tests.support.loopback_cluster import free_ports
 
 ROOT = Path(__file__).parent.parent
 SURFACE: dict[str, Any] = json.loads(
--- /dev/null
+++ b/tests/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the HTTP server and client."""
