--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -2,7 +2,7 @@
 
 Seats are granted only with a place on a machine, and to a gang all at once, so
 nothing ever holds a part of what it needs while it waits for the rest. What
-keeps many small jobs from starving a large one is that seats which fall free
+keeps many small jobs from starving a large one is that counted resources which fall free
 are *kept* for work that has lacked them for long. Whoever is kept for stands in
 one order over all resources, oldest first: the first waits for nobody but for
 work that runs, so no two can wait for each other.
@@ -20,12 +20,12 @@
 from appleshift.state.cluster_state import ASSIGNED, EXITED, OPEN, Job, TaskRun
 
 KEPT_FOR = 8
-"""So many jobs have seats kept at once; the others stand in line behind them."""
+"""So many jobs have counted resources kept at once; the others stand in line behind them."""
 PER_RANK = 3.0
 """More urgent work yields to what starves only after this many times longer for
 each rank between them."""
 TURN_S = 60.0
-"""A job that has its seats and finds no machine gives way after so long, which
+"""A job that has its counted resources and finds no machine gives way after so long, which
 is longer than machines take to come."""
 PROMISE_S = 10.0
 """Seats of work that was stopped are the stopper's for so long, beyond its grace."""
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class WaitingJob:
-    """A job for which seats are kept."""
+    """A job for which counted resources are kept."""
 
     job: Job
     since: float
@@ -91,7 +91,7 @@
             ever = {r: book.resources[r].capacity(now) - lasting[r] for r in needs}
             if any(count > ever[r] for r, count in needs.items()):
                 # What it lacks does not come by itself. Once a job that waited
-                # for one resource, all of it held by services, left three seats
+                # for one resource, all of it held by services, left three counted resources
                 # of another idle for minutes.
                 continue
             own = any(count > book.resources[r].room(job.team) for r, count in needs.items())
@@ -145,7 +145,7 @@
     # -- grants --------------------------------------------------------------------------
 
     def _left(self, number: int) -> int:
-        """Free seats, less what this pass has granted so far."""
+        """Free counted resources, less what this pass has granted so far."""
         return self._free[number] - (self._ledger.resources[number].held - self._held[number])
 
     def max_tasks(self, job: Job, most: int) -> int:
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -1,9 +1,9 @@
-"""The count: who holds how many seats of what.
+"""The count: who holds how many counted resources of what.
 
-A seat is held from the assignment until the task is certainly gone, by the same
+A unit is held from the assignment until the task is certainly gone, by the same
 proof that frees its room on a machine, since both follow ``Tables.assign`` and
-``Tables.free``. What a licence server hands out is held a little longer: until
-the server has taken the seat back (``counted_resources/license_reservation.py``).
+``Tables.free``. What a license server hands out is held a little longer: until
+the server has taken the unit back (``counted_resources/license_reservation.py``).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def holder_name(task: str, attempt: int) -> str:
-    """How a task's attempt is named to a licence server and in the audit."""
+    """How a task's attempt is named to a license server and in the audit."""
     return f"{task}#{attempt}"
 
 
@@ -97,11 +97,11 @@
         self.cluster = cluster
         self.names = NameIndex()
         self.resources: list[CountedResource] = []
-        # Jobs of which some task holds a seat, and of which some waits for one:
+        # Jobs of which some task holds a unit, and of which some waits for one:
         # since when.
         self.holding: dict[int, Job] = {}
         self.waiting: dict[int, float] = {}
-        # By job: since when its seats were there for the asking, without a machine.
+        # By job: since when its counted resources were there for the asking, without a machine.
         self.ready: dict[int, float] = {}
         self.promises: dict[int, Commitment] = {}
 
@@ -182,7 +182,7 @@
         return None
 
     def holders(self, number: int) -> list[tuple[Job, int]]:
-        """Jobs that hold seats of a resource, and how many."""
+        """Jobs that hold counted resources of a resource, and how many."""
         found = []
         for job in self.holding.values():
             count = dict(job.counted_needs).get(number, 0) * len(job.runs)
@@ -193,7 +193,7 @@
     def allocate(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
         """Seats for jobs in their order of urgency, those that hold some first.
 
-        Returns tasks by job and seats by resource: what can be in use at once.
+        Returns tasks by job and counted resources by resource: what can be in use at once.
         """
         left = [resource.planning() for resource in self.resources]
         team_left = [
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -1,4 +1,4 @@
-"""Carries heartbeats to licence servers, on a few routines of their own."""
+"""Carries heartbeats to license servers, on a few threads of their own."""
 
 from __future__ import annotations
 
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -1,11 +1,11 @@
-"""Our account at a licence server: what it reserves for us, and for how long.
+"""Our account at a license server: what it reserves for us, and for how long.
 
-Sans-IO. The leader keeps a reservation by heartbeats; tasks check their seats
+Sans-IO. The leader keeps a reservation by heartbeats; tasks check their counted resources
 out of it. Three things make a count here safe:
 
 - a reservation counts only until its time certainly ran out, measured from when
   the heartbeat that got it was *sent*, as for every lease;
-- a seat that a task gave back is ours to grant again only once the server has
+- a unit that a task gave back is ours to grant again only once the server has
   answered a heartbeat that returned it, for until then the server may refuse;
 - an answer counts only for the request under way: each has a serial, whose
   upper part is the leader's token, so that the server ignores what a former
@@ -66,7 +66,7 @@
         # the server may have shrunk the reservation to that already.
         self._unsettled: int | None = None
         # Seats by holder: of tasks that may be on machines, and given back but
-        # not yet taken back by the server.
+        # not yet reclaimed by the server.
         self._holders: dict[str, int] = {}
         self._returning: OrderedDict[str, int] = OrderedDict()
         self._pending = 0
@@ -144,7 +144,7 @@
         return PendingReservationRequest(self.resource, self.server.address, self._asking)
 
     def reply_received(self, serial: int, standing: ReservationReply | None, now: float) -> bool:
-        """The server's answer to a heartbeat, or None; true if it may free seats."""
+        """The server's answer to a heartbeat, or None; true if it may free counted resources."""
         asked = self._asking
         if asked is None or asked.serial != serial:
             # Late, or of an earlier request: what it says is out of date.
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -1,6 +1,6 @@
-"""Counted resources as a part of the core, for one term.
+"""Counted resources as a part of the scheduler, for one term.
 
-Implements ``coordination.counted.Seats``; owned by the core's routine.
+Implements ``coordination.counted.Seats``; owned by the scheduler's thread.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 log = logging.getLogger(__name__)
 
 LOOK_S = 1.0
-"""Time alone changes what may be granted: turns, promises, silence."""
+"""Time alone changes what may be granted: turns, lease votes, silence."""
 MAX_SHOWN = 400
 """Jobs that an answer lists for each resource; 64 KiB must hold it."""
 
 
 class CountedResourceScheduler(Ledger):
-    """What is counted, and what goes to and comes from licence servers."""
+    """What is counted, and what goes to and comes from license servers."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         return bool(self.waiting)
 
     def reservation_requests(self, now: float) -> list[PendingReservationRequest]:
-        """Heartbeats to licence servers that are due."""
+        """Heartbeats to license servers that are due."""
         served = [
             (number, resource.reservation)
             for number, resource in enumerate(self.resources)
@@ -128,7 +128,7 @@
     def license_server_answered(
         self, name: str, serial: int, standing: ReservationReply | None, now: float
     ) -> bool:
-        """A licence server's answer, or that there was none; true: look again."""
+        """A license server's answer, or that there was none; true: look again."""
         number = self.names.get(name)
         account = self.resources[number].reservation if number >= 0 else None
         return account is not None and account.reply_received(serial, standing, now)
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -1,8 +1,9 @@
-"""The leader's view of all shares: what they need, what their machines are, who helps whom."""
+"""The leader's view of all shards: their needs, their machines, and transfers between them."""
 
 from __future__ import annotations
 
 from collections import defaultdict
+from collections.abc import Container
 
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.placement.fit import tasks_that_fit
@@ -14,112 +15,117 @@
     FleetPlan,
     MachineSummary,
     ShardSummary,
+    UnmetNeed,
 )
 from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap
-from appleshift.sharding.shard_reporter import unmet_needs as lacking_in
+from appleshift.sharding.shard_reporter import unmet_needs
 from appleshift.state.cluster_state import UP as MACHINE_UP
 from appleshift.state.cluster_state import Machine
 
-LACKING_S = 12.0
-"""Work of a share that waits for so long has too few machines there, whatever
-there are in all."""
+SHORTAGE_S = 12.0
+"""Work that waited for so many seconds shows that its shard has too few machines,
+however many there are in all."""
 MOVES_AT_ONCE = 8
-"""Machines on their way to one share."""
+"""Most machines on their way to one shard."""
 MOVE_S = 4.0
-"""A hand-over that its holder has not made by then is called off."""
+"""Seconds after which a transfer that was not made is abandoned."""
 STALE_S = 30.0
-"""A share that has said nothing for so long is not rented for any more."""
+"""Seconds without a summary after which a shard's needs are no longer rented for."""
 
 
 class FleetSummary:
-    """Of one term of the first share."""
+    """Kept by the leader of the first shard, for one term."""
 
     def __init__(
-        self, scheduler: ShardScheduler, known: ShardMap, handing: MachineTransfer
+        self, scheduler: ShardScheduler, known: ShardMap, transfer: MachineTransfer
     ) -> None:
+        """For one term of the first shard; ``transfer`` hands off machines of that shard."""
         self._scheduler = scheduler
         self._map = known
-        self._transfer = handing
-        # The shares' last digests, and idle machines that they are to give back.
+        self._transfer = transfer
+        # The shards' last summaries, and idle machines that they are to give back.
         self._summaries: dict[int, tuple[float, ShardSummary]] = {}
         self._leaving: dict[int, set[str]] = defaultdict(set)
         self._shard_of: dict[str, int] = {}
-        # Machines to be handed on, by the share that has them: name -> share, since.
+        # Machines to be handed off, by the shard that has them: name -> share, since.
         self._moving: dict[int, dict[str, tuple[int, float]]] = defaultdict(dict)
         self._next_moves = 0.0
-        # Since when work waits in a share without a break.
+        # Since when work waits in a shard without a break.
         self._waiting_since: dict[int, float] = {}
 
-    def summary_received(self, digest: ShardSummary) -> FleetPlan:
+    def summary_received(self, summary: ShardSummary) -> FleetPlan:
+        """Apply a shard's summary unless a newer one is known; returns the plan for that shard."""
         scheduler = self._scheduler
         fleet, cluster = scheduler.fleet, scheduler.cluster
-        last = self._summaries.get(digest.shard)
-        newer = last is None or (digest.fencing_token, digest.seq) > (
+        last = self._summaries.get(summary.shard)
+        newer = last is None or (summary.fencing_token, summary.seq) > (
             last[1].fencing_token,
             last[1].seq,
         )
         if newer:
-            # What was delayed on its way says less than what is known by now.
-            self._summaries[digest.shard] = (scheduler.now, digest)
-            for each in digest.machines:
-                self._machine(digest.shard, each)
-            for kind, zone in digest.evicted:
+            # A summary that was delayed on its way must not replace a newer one.
+            self._summaries[summary.shard] = (scheduler.now, summary)
+            for each in summary.machines:
+                self._machine(summary.shard, each)
+            for kind, zone in summary.evicted:
                 market = (cluster.type_names.get(kind), cluster.zones.get(zone))
                 if min(market) >= 0:
                     fleet.evict_market(market)
-            self._waits(digest.shard, digest.waiting > 0)
-            if digest.waiting:
+            self._waits(summary.shard, summary.waiting > 0)
+            if summary.waiting:
                 fleet.next_review = min(fleet.next_review, scheduler.now + SUMMARY_INTERVAL_S)
         plain = max(1, len(self._map.plain))
-        moving = self._moving[digest.shard]
+        moving = self._moving[summary.shard]
         for name, (_, since) in list(moving.items()):
             if scheduler.now - since > MOVE_S:
                 del moving[name]
         return FleetPlan(
             scheduler.fencing_token,
             cluster.types,
-            sorted(self._leaving[digest.shard])[: cloud.MAX_DELETE],
+            sorted(self._leaving[summary.shard])[: cloud.MAX_DELETE],
             fleet.on_demand_spare.get(False, 0.0) / plain,
-            [(name, share) for name, (share, _) in moving.items()],
+            [(name, shard) for name, (shard, _) in moving.items()],
         )
 
-    def _machine(self, share: int, told: MachineSummary) -> None:
-        cluster, leaving = self._scheduler.cluster, self._leaving[share]
-        machine = cluster.machine(told.name)
-        if told.state == MOVED:
-            # Where it went says so itself.
-            leaving.discard(told.name)
+    def _machine(self, shard: int, reported: MachineSummary) -> None:
+        cluster, leaving = self._scheduler.cluster, self._leaving[shard]
+        machine = cluster.machine(reported.name)
+        if reported.state == MOVED:
+            # The shard that accepted it reports it.
+            leaving.discard(reported.name)
             if machine is not None and machine.in_other_shard:
                 machine.idle_since = 0.0
                 machine.cordoned = False
-            self._moving[share].pop(told.name, None)
+            self._moving[shard].pop(reported.name, None)
             return
         if machine is not None and not machine.in_other_shard:
-            # It came back here meanwhile.
+            # It came back to this shard meanwhile.
             return
-        if told.state == GONE:
-            leaving.discard(told.name)
-            self._shard_of.pop(told.name, None)
-            self._moving[share].pop(told.name, None)
+        if reported.state == GONE:
+            leaving.discard(reported.name)
+            self._shard_of.pop(reported.name, None)
+            self._moving[shard].pop(reported.name, None)
             if machine is not None and machine.in_other_shard:
                 cluster.drop_machine(machine)
             return
-        machine = self._shadow_machine(told.name, told.kind, told.zone, told.spot, share)
+        machine = self._shadow_machine(
+            reported.name, reported.kind, reported.zone, reported.spot, shard
+        )
         if machine is None:
             return
-        machine.cordoned = told.state == LEAVING
-        if not told.idle or machine.cordoned:
-            leaving.discard(told.name)
+        machine.cordoned = reported.state == LEAVING
+        if not reported.idle or machine.cordoned:
+            leaving.discard(reported.name)
             machine.idle_since = 0.0
         else:
             machine.idle_since = machine.idle_since or self._scheduler.now
 
     def _shadow_machine(
-        self, name: str, kind: str, zone: str, spot: bool, share: int
+        self, name: str, kind: str, zone: str, spot: bool, shard: int
     ) -> Machine | None:
-        """The leader's idea of a machine that another share has."""
+        """The leader's record of a machine that another shard uses."""
         cluster = self._scheduler.cluster
         machine = cluster.machine(name)
         if machine is None:
@@ -129,108 +135,126 @@
             machine.rented_at = self._scheduler.now
         machine.in_other_shard = True
         machine.status = MACHINE_UP
-        self._shard_of[name] = share
+        self._shard_of[name] = shard
         return machine
 
     def step(self, now: float) -> None:
-        """Idle machines of shares where nothing waits go to those that lack room.
+        """Move idle machines of shards without shortages to shards that lack room.
 
         Only whole idle machines move, as many as what waits there fills.
         """
         if now < self._next_moves:
             return
         self._next_moves = now + SUMMARY_INTERVAL_S
-        cluster = self._scheduler.cluster
-        own = lacking_in(self._scheduler) if 0 in self._map.plain else []
+        shortages = self._lasting_shortages(now)
+        if not shortages:
+            return
+        idle = self._idle_machines(without=shortages)
+        for shard, needs in shortages.items():
+            self._move_machines(shard, needs, idle, now)
+
+    def _lasting_shortages(self, now: float) -> dict[int, list[UnmetNeed]]:
+        """Unmet needs of shards where work has waited for a while, by shard."""
+        own = unmet_needs(self._scheduler) if 0 in self._map.plain else []
         self._waits(0, bool(own))
-        needs = {digest.shard: digest.shortages for digest in self._fresh()}
-        lacking = {
-            share: found
-            for share, found in {**needs, 0: own}.items()
-            if found and now - self._waiting_since.get(share, now) > LACKING_S / 4
+        needs = {summary.shard: summary.shortages for summary in self._fresh()}
+        return {
+            shard: found
+            for shard, found in {**needs, 0: own}.items()
+            if found and now - self._waiting_since.get(shard, now) > SHORTAGE_S / 4
         }
-        if not lacking:
-            return
-        under_way = {name for moves in self._moving.values() for name in moves}
-        idle = [
-            (0 if not machine.in_other_shard else self._shard_of.get(machine.name, 0), machine)
-            for machine in cluster.machines.values()
-            if machine.status == MACHINE_UP
+
+    def _idle_machines(self, without: Container[int]) -> list[tuple[int, Machine]]:
+        """Idle machines without GPUs that may move, with their shards."""
+        cluster = self._scheduler.cluster
+        moving = {name for moves in self._moving.values() for name in moves}
+        idle = []
+        for machine in cluster.machines.values():
+            shard = 0 if not machine.in_other_shard else self._shard_of.get(machine.name, 0)
+            if (
+                self._is_idle(machine)
+                and machine.name not in moving
+                and shard not in without
+                and cluster.types[machine.type].gpus <= 0
+            ):
+                idle.append((shard, machine))
+        return idle
+
+    @staticmethod
+    def _is_idle(machine: Machine) -> bool:
+        leaving = machine.cordoned or machine.deletion_requested or machine.draining
+        return bool(
+            machine.status == MACHINE_UP
             and machine.idle_since
             and machine.empty()
-            and not (
-                machine.cordoned
-                or machine.deletion_requested
-                or machine.draining
-                or machine.quarantined
-            )
-            and machine.name not in under_way
-        ]
-        idle = [
-            (share, machine)
-            for share, machine in idle
-            if share not in lacking and cluster.types[machine.type].gpus <= 0
-        ]
-        for share, found in lacking.items():
-            moving = sum(
-                target == share for moves in self._moving.values() for target, _ in moves.values()
-            )
-            for need in found:
-                missing = need.tasks
-                for entry in list(idle):
-                    if missing <= 0 or moving >= MOVES_AT_ONCE:
-                        break
-                    source, machine = entry
-                    kind = cluster.types[machine.type]
-                    fits = tasks_that_fit(kind.cpus, kind.gpus, kind.memory_gb, need)
-                    allowed = kind.name in need.kinds and need.spot >= machine.spot
-                    if fits and allowed and cluster.zones.names[machine.zone] in need.zones:
-                        missing -= fits
-                        moving += 1
-                        idle.remove(entry)
-                        if source:
-                            self._moving[source][machine.name] = (share, now)
-                        else:
-                            self._hand_off(machine, share)
+            and not (leaving or machine.quarantined)
+        )
+
+    def _move_machines(
+        self, shard: int, needs: list[UnmetNeed], idle: list[tuple[int, Machine]], now: float
+    ) -> None:
+        """Move machines that fit a shard's needs; what moves is taken out of ``idle``."""
+        cluster = self._scheduler.cluster
+        moving = sum(
+            target == shard for moves in self._moving.values() for target, _ in moves.values()
+        )
+        for need in needs:
+            missing = need.tasks
+            for entry in list(idle):
+                if missing <= 0 or moving >= MOVES_AT_ONCE:
+                    break
+                source, machine = entry
+                kind = cluster.types[machine.type]
+                fits = tasks_that_fit(kind.cpus, kind.gpus, kind.memory_gb, need)
+                allowed = kind.name in need.kinds and need.spot >= machine.spot
+                if fits and allowed and cluster.zones.names[machine.zone] in need.zones:
+                    missing -= fits
+                    moving += 1
+                    idle.remove(entry)
+                    if source:
+                        self._moving[source][machine.name] = (shard, now)
+                    else:
+                        self._hand_off(machine, shard)
 
     def return_machines(self, machines: list[Machine]) -> None:
+        """Ask the shards that have these idle machines to delete them."""
         for machine in machines:
             kind = self._scheduler.cluster.type_names.names[machine.type]
-            share = self._shard_of.get(machine.name)
-            if share is None:
-                share = self._map.shard_of_machine(machine.name, kind)
-            self._leaving[share].add(machine.name)
-            # Counted as gone; its holder's next word says whether it is.
+            shard = self._shard_of.get(machine.name)
+            if shard is None:
+                shard = self._map.shard_of_machine(machine.name, kind)
+            self._leaving[shard].add(machine.name)
+            # Counted as gone; the next summary says whether it is.
             machine.cordoned = True
 
-    def _waits(self, share: int, waits: bool) -> None:
+    def _waits(self, shard: int, waits: bool) -> None:
         if waits:
-            self._waiting_since.setdefault(share, self._scheduler.now)
+            self._waiting_since.setdefault(shard, self._scheduler.now)
         else:
-            self._waiting_since.pop(share, None)
+            self._waiting_since.pop(shard, None)
 
     def _fresh(self) -> list[ShardSummary]:
         now = self._scheduler.now
-        return [digest for at, digest in self._summaries.values() if now - at < STALE_S]
+        return [summary for at, summary in self._summaries.values() if now - at < STALE_S]
 
     def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
-        """What is needed over all, and at least so much that every share gets its own:
-        machines go round in turn, so a share that needs more than the others gets
+        """What is needed over all, and at least so much that every shard gets its own:
+        machines go round in turn, so a shard that needs more than the others gets
         it only if that is rented for each of them."""
         by_share = {0: [*own]}
-        for digest in self._fresh():
-            if len(digest.capacity_needed) == 2:
-                by_share[digest.shard] = digest.capacity_needed[gpus]
+        for summary in self._fresh():
+            if len(summary.capacity_needed) == 2:
+                by_share[summary.shard] = summary.capacity_needed[gpus]
         total, fixed = (
             [sum(sums[which][size] for sums in by_share.values()) for size in range(3)]
             for which in range(2)
         )
         plain, now = self._map.plain, self._scheduler.now
-        for share, sums in by_share.items():
-            lacking = now - self._waiting_since.get(share, now) > LACKING_S
-            if gpus or share not in plain or not lacking:
+        for shard, sums in by_share.items():
+            lacking = now - self._waiting_since.get(shard, now) > SHORTAGE_S
+            if gpus or shard not in plain or not lacking:
                 continue
             for into, amounts in zip((total, fixed), sums, strict=True):
                 for size, amount in enumerate(amounts):
@@ -238,11 +262,12 @@
         return total, fixed
 
     def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
+        """Work of other shards that none of their machines can ever run, with or without GPUs."""
         cluster = self._scheduler.cluster
         found = []
-        for digest in self._fresh():
-            spread_by = len(self._map.plain) if digest.shard in self._map.plain else 1
-            for need in digest.unplaceable:
+        for summary in self._fresh():
+            spread_by = len(self._map.plain) if summary.shard in self._map.plain else 1
+            for need in summary.unplaceable:
                 if (need.gpus > 0) != gpus:
                     continue
                 found.append(
@@ -259,13 +284,13 @@
                 )
         return found
 
-    def _hand_off(self, machine: Machine, share: int) -> None:
-        """One of the first share's own, which it counts as that share's from now on."""
-        given = self._transfer.hand_off(machine.name, share)
+    def _hand_off(self, machine: Machine, shard: int) -> None:
+        """One of the first shard's own, which it counts as that shard's from now on."""
+        given = self._transfer.hand_off(machine.name, shard)
         if given is not None:
-            self._shadow_machine(given.name, given.type, given.zone, given.spot, share)
+            self._shadow_machine(given.name, given.type, given.zone, given.spot, shard)
 
     def summary_ages(self) -> dict[int, float]:
         """By share: how many seconds ago its holder was heard."""
         now = self._scheduler.now
-        return {share: round(now - at, 1) for share, (at, _) in sorted(self._summaries.items())}
+        return {shard: round(now - at, 1) for shard, (at, _) in sorted(self._summaries.items())}
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of sharing use of their share's core, and of each other."""
+"""What the parts of sharding use of their shard's scheduler, and limits that they share."""
 
 from __future__ import annotations
 
@@ -10,20 +10,29 @@
 from appleshift.state.cluster_state import Job
 
 SUMMARY_INTERVAL_S = 1.0
-"""How often the leader hears of the other shares."""
+"""Seconds between two summaries of a shard to the leader."""
 MAX_MACHINES_PER_CALL = 600
+"""Machines named in one call: more would not fit a request body of 64 KiB."""
 
 
 class ShardScheduler(ReplyingScheduler, Protocol):
-    """The core of one term of a share."""
+    """The scheduler of one term of a shard, as the parts of sharding use it."""
 
     fleet: Fleet
     fast_path: FastPath
 
-    def complete_tasks(self, job: Job, tasks: list[int], runs: list[Any]) -> None: ...
+    def complete_tasks(self, job: Job, tasks: list[int], runs: list[Any]) -> None:
+        """Mark tasks done, in this shard (``runs``) or in another."""
+        ...
 
-    def stop_job(self, job: Job) -> None: ...
+    def stop_job(self, job: Job) -> None:
+        """Stop all task runs of a job in this shard."""
+        ...
 
-    def hold_reply(self, reply_to: Any) -> None: ...
+    def hold_reply(self, reply_to: Any) -> None:
+        """Keep a request open until ``answer_held`` or until the log stalls."""
+        ...
 
-    def answer_held(self, reply_to: Any, status: int, body: Any) -> None: ...
+    def answer_held(self, reply_to: Any, status: int, body: Any) -> None:
+        """Answer a request that is still held; one that was answered meanwhile is left alone."""
+        ...
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -1,11 +1,12 @@
-"""Machines from share to share.
+"""Transfer of idle machines from one shard to another.
 
-What is rented goes round the shares in turn. A machine that is idle may be handed on to
-a share that lacks room: its holder writes down that it gave it away, once no task can
-be on it and no order can still arrive, and never knows it again; the other share writes
-it down before it says so. In between nobody uses it. Its worker has seen the former
-holder's token, so the new one gives it orders with that or its own, whichever is higher
-(``Core.token_for``). Each hand-over has a number: late ones change nothing.
+Rented machines go to the shards in rotation. An idle machine may be handed off to a shard
+that lacks room. Its shard records the hand-off once no task can be on the machine and no
+command can still arrive there, and never uses it again; the other shard records that it
+accepted the machine before it confirms. Between the two records nobody uses it. The worker
+has seen the fencing token of the former leader, so the new one sends commands with the
+higher of that token and its own (``Scheduler.fencing_token_for``). Each transfer has a
+number, so that messages that arrive late change nothing.
 """
 
 from __future__ import annotations
@@ -21,24 +22,26 @@
 
 
 class MachineTransfer:
-    """Of one term of a share: machines given away, and taken."""
+    """Hand-offs and acceptances of one term of a shard."""
 
     def __init__(self, scheduler: ShardScheduler, number: int) -> None:
+        """For one term of shard ``number``; recovers what was handed off and not confirmed."""
         self._scheduler = scheduler
         self._shard = number
-        # Given away, and not confirmed in this term; not what is not durably given
-        # away yet: a successor here would have it still, and so would the other share.
+        # Handed off durably and not confirmed in this term. A hand-off that is not durable
+        # yet must not be offered: a new leader here would still have the machine, and so
+        # would the other shard.
         self._unconfirmed: dict[str, HandedOffMachine] = dict(scheduler.cluster.handed_off)
         self.transferred_count = 0
 
-    def hand_off(self, name: str, share: int) -> HandedOffMachine | None:
-        """Give a machine away, if nothing can be on it nor come to it any more."""
+    def hand_off(self, name: str, shard: int) -> HandedOffMachine | None:
+        """Hand off a machine on which nothing can be or start any more; None if it is not so."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         machine = cluster.machine(name)
         if (
             machine is None
             or machine.in_other_shard
-            or share == self._shard
+            or shard == self._shard
             or not machine.agent_epoch
         ):
             return None
@@ -52,65 +55,64 @@
         if scheduler.draining or not scheduler.lease.may_write(scheduler.now):
             return None
         kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
-        given = HandedOffMachine(
+        handed_off = HandedOffMachine(
             name,
             machine.addr,
             kind,
             zone,
             machine.spot,
-            share,
+            shard,
             machine.transfer_count + 1,
             scheduler.fencing_token_for(machine),
         )
-        # Out of use from here on: whatever becomes of the record, it is no longer ours
-        # to start anything on.
+        # Unused from here on, whatever becomes of the record.
         cluster.forget_machine(machine)
         scheduler.fast_path.entries.pop(name, None)
-        cluster.handed_off[name] = given
+        cluster.handed_off[name] = handed_off
 
         def durable() -> None:
-            self._unconfirmed[name] = given
+            self._unconfirmed[name] = handed_off
 
-        scheduler.append_records([records.handed_off_record(given)], durable)
+        scheduler.append_records([records.handed_off_record(handed_off)], durable)
         self.transferred_count += 1
-        log.info("machine %s goes to share %d", name, share)
-        return given
+        log.info("machine handed off machine=%s to_shard=%d", name, shard)
+        return handed_off
 
-    def accept(self, told: TransferredMachine) -> bool:
-        """Take a machine that was handed on; true once it is (or was) this share's."""
+    def accept(self, offer: TransferredMachine) -> bool:
+        """Accept a machine; true once it is, or was, this shard's, so that it can be confirmed."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
-        known, given = cluster.machine(told.name), cluster.handed_off.get(told.name)
-        if told.name in cluster.deleted_machines or (
-            given is not None and given.transfer_count >= told.moves
+        known, handed_off = cluster.machine(offer.name), cluster.handed_off.get(offer.name)
+        if offer.name in cluster.deleted_machines or (
+            handed_off is not None and handed_off.transfer_count >= offer.moves
         ):
             return True
         if known is not None and not known.in_other_shard:
             return True
         if known is not None:
             cluster.forget_machine(known)
-        machine = cluster.add_machine(told.name, told.kind, told.zone, told.spot)
+        machine = cluster.add_machine(offer.name, offer.kind, offer.zone, offer.spot)
         if machine is None:
-            # Of a type that is not known here yet.
+            # Its type is not known here yet.
             return False
-        cluster.handed_off.pop(told.name, None)
-        self._unconfirmed.pop(told.name, None)
+        cluster.handed_off.pop(offer.name, None)
+        self._unconfirmed.pop(offer.name, None)
         machine.addr, machine.transfer_count, machine.min_fencing_token = (
-            told.addr,
-            told.moves,
-            told.token,
+            offer.addr,
+            offer.moves,
+            offer.token,
         )
         machine.rented_at = machine.idle_since = scheduler.now
         scheduler.append_records([records.machine_record(cluster, machine)])
-        log.info("machine %s comes from another share", told.name)
+        log.info("machine accepted from another shard machine=%s", offer.name)
         return True
 
     def unconfirmed(self) -> dict[int, list[TransferredMachine]]:
-        """By share: machines that it is to take."""
-        found: dict[int, list[TransferredMachine]] = {}
+        """Machines that other shards have to accept, by shard."""
+        by_shard: dict[int, list[TransferredMachine]] = {}
         for each in self._unconfirmed.values():
-            given = found.setdefault(each.shard, [])
-            if len(given) < MAX_MACHINES_PER_CALL:
-                given.append(
+            offers = by_shard.setdefault(each.shard, [])
+            if len(offers) < MAX_MACHINES_PER_CALL:
+                offers.append(
                     TransferredMachine(
                         each.name,
                         each.addr,
@@ -121,9 +123,9 @@
                         each.fencing_token,
                     )
                 )
-        return found
+        return by_shard
 
-    def confirmed(self, share: int, name: str) -> None:
-        """That share has it, durably."""
-        if (each := self._unconfirmed.get(name)) and each.shard == share:
+    def confirmed(self, shard: int, name: str) -> None:
+        """The other shard has recorded that it accepted the machine."""
+        if (each := self._unconfirmed.get(name)) and each.shard == shard:
             del self._unconfirmed[name]
--- a/appleshift/sharding/shard_assigner.py
+++ b/appleshift/sharding/shard_assigner.py
@@ -1,8 +1,8 @@
-"""Which controller holds which share: who follows one that fell, and what is moved.
+"""Which controller should lead which shard, after a failure and for balance.
 
-Only advice: a holder's key decides. Two nodes with different ideas of it both
-stand, and one is elected; a leader that is none any more asks for moves that its
-siblings, who follow the highest token, do not carry out.
+Advisory only: the leader key of a shard decides. Two nodes that disagree both become
+candidates, and one is elected. A deposed leader may still ask for moves, but its peers
+follow the leader with the highest fencing token and ignore them.
 """
 
 from __future__ import annotations
@@ -11,51 +11,52 @@
 from dataclasses import dataclass
 
 CANDIDACY_STEP_S = 0.3
-"""So much longer waits each next heir of a share before it stands."""
+"""Seconds that each next candidate for a shard waits longer than the one before it."""
 STARTUP_CANDIDACY_STEP_S = 1.0
-"""As long as nodes may still be starting, and learning of the map."""
+"""The same while nodes may still be starting and reading the shard map."""
 SETTLED_S = 8.0
-"""A controller that came back is given shares once it has stayed so long."""
+"""Seconds that a restarted controller must stay up before shards move to it."""
 MOVE_GAP_S = 5.0
-"""At most one share moves at a time, and then none for so long."""
+"""Seconds between two moves; only one shard moves at a time."""
 PATIENCE_S = 4.0
-"""A move that was not made by then is called off."""
+"""Seconds after which a move that was not made is abandoned."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerLoad:
-    """A node that is there, as another sees it."""
+    """A reachable controller, as one of its peers sees it."""
 
     name: str
     held_shards: int
-    """Shares that it holds."""
+    """Number of shards that it leads."""
     since_s: float
-    """For how long it has been there without a gap."""
+    """Seconds for which it has been reachable without a gap."""
     crowded: bool = False
-    """It cannot take more than it has."""
+    """It cannot take another shard."""
 
 
-def candidates(share: int, controllers: Sequence[ControllerLoad]) -> list[str]:
-    """Who is to stand for a share that nobody holds, in this order.
+def candidates(shard: int, controllers: Sequence[ControllerLoad]) -> list[str]:
+    """The controllers that may become candidates for a shard without a leader, in this order.
 
-    The least loaded first; of equals the next in a turn that begins elsewhere for
-    each share, so that several shares of one that fell go to several nodes.
+    The least loaded first. Ties are broken by a rotation that starts at another controller
+    for each shard, so that the shards of a failed controller spread over the others.
     """
     names = sorted(each.name for each in controllers)
     by_name = {each.name: each for each in controllers}
-    turn = [names[(share + step) % len(names)] for step in range(len(names))]
-    return sorted(turn, key=lambda name: (by_name[name].crowded, by_name[name].held_shards))
+    rotation = [names[(shard + step) % len(names)] for step in range(len(names))]
+    return sorted(rotation, key=lambda name: (by_name[name].crowded, by_name[name].held_shards))
 
 
 class ShardAssigner:
-    """The leader's part: asks for moves so that all nodes hold about as many shares.
+    """Used by the leader: asks for moves so that all nodes lead about as many shards.
 
-    A move costs the share some hundred milliseconds of service, so none is made
-    for less than two shares' difference, which a move cannot turn round: nothing
-    swings.
+    A move interrupts a shard for some hundred milliseconds. One is made only for a
+    difference of two shards or more, which a move cannot invert, so moves do not oscillate.
     """
 
     def __init__(self, now: float) -> None:
+        """``now`` in seconds of the steady clock; the first move is asked for ``SETTLED_S``
+        later."""
         self.moves = 0
         self._wanted_move: tuple[int, str] | None = None
         self._since = now
@@ -67,9 +68,9 @@
         """The move that is wanted now, as (share, node)."""
         wanted = self._wanted_move
         if wanted is not None:
-            share, target = wanted
+            shard, target = wanted
             there = any(each.name == target for each in controllers)
-            if holders.get(share) == target or not there or now - self._since > PATIENCE_S:
+            if holders.get(shard) == target or not there or now - self._since > PATIENCE_S:
                 self._wanted_move = None
                 self._next = now + MOVE_GAP_S
             return self._wanted_move
@@ -98,6 +99,6 @@
         source = max(count, key=lambda name: (count[name], name))
         if count[source] - count[target] < 2:
             return None
-        # Never the leader's own: that would change the leader for nothing.
-        moved = [share for share, holder in holders.items() if holder == source and share]
+        # Never shard 0: that would change the leader of the cluster for nothing.
+        moved = [shard for shard, holder in holders.items() if holder == source and shard]
         return (max(moved), target) if moved else None
--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -1,10 +1,10 @@
-"""Which share a machine and a job's id belong to.
+"""Which shard a machine or a job id belongs to.
 
 Both follow from the name, so that every node comes to the same answer without
-asking. A machine never changes its share while it lives, nor an id its home:
-what the map says of them was settled by the epoch in which they came. The map
-itself is a key that only the first share's holder writes, and every other holder
-guards its version with each of its writes (``keeper.py``).
+asking. The epoch in which a machine or an id appeared decides, so neither ever
+changes its shard. The map is one key of the key-value store: only the leader of
+the first shard writes it, and the leaders of all other shards guard its version
+with each write (``shard_map_follower.py``).
 """
 
 from __future__ import annotations
@@ -18,33 +18,38 @@
 
 
 class ShardMap:
-    """The epochs, the newest last."""
+    """One version of the shard map: its epochs, the newest last."""
 
     def __init__(
         self, epochs: list[ShardMapEpoch], changing: bool = False, version: int = 0
     ) -> None:
+        """``version`` is that of the key; ValueError without any epoch."""
         if not epochs:
             raise ValueError("a map of shares without any epoch")
         self.epochs = epochs
         self.changing = changing
         self.version = version
-        # Shares that are no longer given anything are held for what they know.
+        # Shards that get nothing new any more still need a leader: they know jobs.
         self.shard_count = 1 + max(max(epoch.plain + epoch.homes) for epoch in epochs)
 
     @property
     def plain(self) -> list[int]:
+        """Shards that get machines without GPUs, in the newest epoch."""
         return self.epochs[-1].plain
 
     @property
     def submission_shards(self) -> list[int]:
+        """Shards that accept new jobs, in the newest epoch."""
         return self.epochs[-1].homes
 
     @property
     def cards(self) -> list[str]:
+        """Names of machine types with GPUs, which belong to the first shard, in the newest
+        epoch."""
         return self.epochs[-1].cards
 
     def home_shards(self, job_id: str) -> list[int]:
-        """The share that takes a job of this id, then those where it may be from before."""
+        """The shard that takes a job of this id, then those where it may be from before."""
         number = xxh3_64_intdigest(job_id.encode())
         found: list[int] = []
         for epoch in reversed(self.epochs):
@@ -53,7 +58,7 @@
                 found.append(home)
         return found
 
-    def shard_of_machine(self, name: str, kind: str) -> int:
+    def shard_of_machine(self, name: str, type_name: str) -> int:
         """The share of a machine. Names come in the order of their creation
         (PROTOCOL, "Controller nodes -> cloud"), so the epoch follows from the name."""
         epoch = self.epochs[0]
@@ -61,7 +66,7 @@
             if name > later.after:
                 epoch = later
                 break
-        if kind in epoch.cards:
+        if type_name in epoch.cards:
             return 0
         # Names end in a number: what one rental brings goes round in turn, which
         # divides it more evenly than any hash.
@@ -71,7 +76,7 @@
 
 
 def is_pinned(team: TeamLimits) -> bool:
-    """Is the team decided in the first share, so that one holder counts all it uses?
+    """Is the team decided in the first shard, so that one holder counts all it uses?
 
     That holds for whatever limits it beyond machines with GPUs, which are there
     anyway.
@@ -88,7 +93,7 @@
 ) -> ShardMapEpoch:
     """The division of whatever comes after a machine's name.
 
-    ``busy`` shares have work from before: they go on getting machines for it, or
+    ``busy`` shards have work from before: they go on getting machines for it, or
     what runs there and loses its machine could never start again.
     """
     first = 0 if count <= 1 or any(is_pinned(team) for team in teams) else 1
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -1,13 +1,13 @@
 """A node's part in sharing: the map, who is to hold what, and calls between holders.
 
-The map is a key of the state service. Only the first share's holder writes it,
+The map is a key of the key-value store. Only the first shard's holder writes it,
 guarded by its own key; every other holder is elected under one version of it and
 guards that version with each write. So a holder that goes by an older map can
 write nothing, and what it only *says* rests on what was durable under its map.
 
 A change of the map is made in two steps, for machines are divided by when they
 came: first it is marked as changing, from when on no other holder can write or be
-elected; then the logs of all shares say which machines were in use, and whatever
+elected; then the logs of all shards say which machines were in use, and whatever
 is named later goes by the new epoch. A leader that falls between leaves the mark,
 and the next one goes on from there.
 """
@@ -58,25 +58,26 @@
 CLOSED = 1.5
 """Machines heard for each place where connections are closed between reports."""
 GATHERING_S = 5.0
-"""After a start all siblings count as there: they may be a moment later."""
+"""After a start all peers count as there: they may be a moment later."""
 
 
 class ShardMapFollower:
-    """One for each node that goes by a map of shares."""
+    """One for each node that goes by a shard map."""
 
     def __init__(
         self,
         context: NodeContext,
         replicas: Mapping[int, ShardReplica],
-        neighbours: PeerMonitor,
-        grow: Callable[[ShardReplica], None],
+        peer_monitor: PeerMonitor,
+        add_replica: Callable[[ShardReplica], None],
     ) -> None:
+        """``add_replica`` is called with the replica of each shard that appears in the map."""
         self.context = context
         self.shard_map: ShardMap | None = None
         self.version = 0
         self._replicas = replicas
-        self._peer_monitor = neighbours
-        self._add_replica = grow
+        self._peer_monitor = peer_monitor
+        self._add_replica = add_replica
         self._pool = ThreadPool(context.runtime, "share-call", CALLS)
         self._now = context.runtime.now
         self._began = self._now()
@@ -85,21 +86,23 @@
         self._move: tuple[int, str] | None = None
 
     def start(self) -> None:
+        """Start the thread that follows the shard map."""
         self.context.runtime.spawn("shares", self._follow_map)
 
     def stop(self) -> None:
+        """Stop calls to other shards; the map's thread ends with the node."""
         self._pool.stop()
 
     # -- the map ---------------------------------------------------------------------
 
     def _follow_map(self) -> None:
-        """Learn of the map once there is one, and whenever a sibling has a newer."""
+        """Learn of the map once there is one, and whenever a peer has a newer."""
         while not self.context.stop.is_set():
             try:
                 if self.shard_map is None or self._peer_monitor.shard_map_version > self.version:
                     self._install_map(*self._read_map())
             except (StoreError, ProtocolError) as error:
-                log.debug("map of shares: %s", error)
+                log.debug("reading the shard map failed error=%s", error)
             self.context.stop.wait(READ_GAP_S)
 
     def _read_map(self) -> tuple[ShardMapValue | None, int]:
@@ -111,24 +114,24 @@
             return
         known = ShardMap(value.epochs, value.changing, version)
         self.shard_map, self.version = known, version
-        for share in range(1, known.shard_count):
-            if share not in self._replicas:
+        for shard in range(1, known.shard_count):
+            if shard not in self._replicas:
                 self._add_replica(
                     ShardReplica(
                         self.context,
-                        share,
+                        shard,
                         self._guards,
-                        partial(self._candidacy_delay_s, share),
+                        partial(self._candidacy_delay_s, shard),
                     )
                 )
 
     def _guards(self) -> tuple[tuple[str, int], ...] | None:
-        """Under which map a share other than the first may be held."""
+        """Under which map a shard other than the first may be held."""
         known, version = self.shard_map, self.version
         return None if known is None or known.changing else ((SHARD_MAP_KEY, version),)
 
     def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> Sharding | None:
-        """What a share's new core has to do with the others; None with one share.
+        """What a shard's new core has to do with the others; None with one shard.
 
         Raises StoreError, ClientError or ProtocolError to be asked again, and
         TxnFailedError if the term is over.
@@ -163,13 +166,17 @@
             version = self._write_map(term, ShardMapValue(epochs, changing=True), version)
         others = self._recovered_shards(replayer, ShardMap(epochs or [last]).shard_count)
         names = {name for cluster in others.values() for name in _machine_names(cluster)}
-        busy = {share for share, cluster in others.items() if cluster.jobs and share in last.plain}
+        busy = {shard for shard, cluster in others.items() if cluster.jobs and shard in last.plain}
         if value is None and (names or replayer.cluster.jobs or replayer.cluster.final_states):
             epochs = [last]
         new = new_epoch(wanted, max(names, default=""), cards, teams, busy)
         epochs = [*epochs, new]
         version = self._write_map(term, ShardMapValue(epochs), version)
-        log.info("map of shares, version %d: %s", version, msgspec.json.encode(epochs).decode())
+        log.info(
+            "shard map installed version=%d epochs=%s",
+            version,
+            msgspec.json.encode(epochs).decode(),
+        )
         self._install_map(ShardMapValue(epochs), version)
 
     def _write_map(self, term: LeaderTerm, value: ShardMapValue, version: int) -> int:
@@ -190,19 +197,19 @@
             raise
 
     def _recovered_shards(self, replayer: LogReplayer, shares: int) -> dict[int, ClusterState]:
-        """What the logs of all shares say; the first one's is recovered already."""
+        """What the logs of all shards say; the first one's is recovered already."""
         deployment = self.context.settings.deployment
         found = {0: replayer.cluster}
-        for share in range(1, shares):
+        for shard in range(1, shares):
             other = LogReplayer(ClusterState(deployment.zones, deployment.teams))
-            recover(self.context.store, other, shard_prefix(share))
-            found[share] = other.cluster
+            recover(self.context.store, other, shard_prefix(shard))
+            found[shard] = other.cluster
         return found
 
     def _shards_with_work(self, replayer: LogReplayer, shares: set[int]) -> set[int]:
-        """Which of these shares have work."""
+        """Which of these shards have work."""
         cluster = self._recovered_shards(replayer, max(shares) + 1)
-        return {share for share in shares if cluster[share].jobs}
+        return {shard for shard in shares if cluster[shard].jobs}
 
     # -- who holds what ------------------------------------------------------------------
 
@@ -212,9 +219,9 @@
         held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
         found = [ControllerLoad(name, held, now - self._began)]
         for peer in self.context.peer_clients:
-            at, hello = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
-            if hello is not None and now - at < PEER_STATUS_VALID_S and hello.shard_map_version:
-                count = len(hello.held_shards) + hello.leading
+            at, status = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
+            if status is not None and now - at < PEER_STATUS_VALID_S and status.shard_map_version:
+                count = len(status.held_shards) + status.leading
                 since = self._peer_monitor.reachable_since.get(peer, now)
                 found.append(ControllerLoad(peer, count, now - since))
             elif now - self._began < GATHERING_S:
@@ -226,41 +233,41 @@
         if self._replicas[0].lease.may_answer(now):
             return self._move
         best: tuple[int, peers.PeerStatus] | None = None
-        for at, hello in list(self._peer_monitor.last_status.values()):
+        for at, status in list(self._peer_monitor.last_status.values()):
             if (
-                hello.entitled
+                status.entitled
                 and now - at < PEER_STATUS_VALID_S
-                and (best is None or hello.fencing_token > best[0])
+                and (best is None or status.fencing_token > best[0])
             ):
-                best = (hello.fencing_token, hello)
+                best = (status.fencing_token, status)
         if best is None:
             return None
         return next(
-            ((share, name) for share, name in enumerate(best[1].preferred_holders) if name), None
+            ((shard, name) for shard, name in enumerate(best[1].preferred_holders) if name), None
         )
 
-    def _candidacy_delay_s(self, share: int) -> float:
-        """How long others go first in standing for a share that is free."""
+    def _candidacy_delay_s(self, shard: int) -> float:
+        """How long others go first in standing for a shard that is free."""
         now = self._now()
         name = self.context.settings.name
         controllers = self.controllers(now)
         move = self.wanted_move(now)
         ahead = 0
-        if move is not None and move[0] == share:
+        if move is not None and move[0] == shard:
             if move[1] == name:
                 return 0.0
             ahead = any(each.name == move[1] for each in controllers)
         # Who held it is gone, though what it said of itself is not old yet.
-        former = self._replicas[share].election.last_holder
+        former = self._replicas[shard].election.last_holder
         there = [each for each in controllers if each.name == name or each.name != former]
-        rank = shard_assigner.candidates(share, there).index(name)
+        rank = shard_assigner.candidates(shard, there).index(name)
         starting = now - self._began < GATHERING_S
         return (rank + ahead) * (
             shard_assigner.STARTUP_CANDIDACY_STEP_S if starting else shard_assigner.CANDIDACY_STEP_S
         )
 
     def step(self, now: float) -> None:
-        """Called by the cores' routine: ask for moves, or carry one out."""
+        """Called by the cores' thread: ask for moves, or carry one out."""
         if now < self._next_step or self.shard_map is None:
             return
         self._next_step = now + STEP_S
@@ -268,13 +275,13 @@
             if self._assigner is None:
                 self._assigner = ShardAssigner(now)
             holders = {
-                share: replica.election.current_leader()
-                for share, replica in [*self._replicas.items()]
+                shard: replica.election.current_leader()
+                for shard, replica in [*self._replicas.items()]
             }
             self._set_max_machines(len(holders))
             move = self._assigner.step(now, holders, self.controllers(now))
             if move is not None and move != self._move:
-                log.info("share %d is to move from %s to %s", move[0], holders[move[0]], move[1])
+                log.info("moving shard shard=%d from=%s to=%s", move[0], holders[move[0]], move[1])
             self._move = move
         else:
             self._assigner, self._move = None, None
@@ -298,24 +305,25 @@
             nodes = min(len(self.context.peer_clients) + 1, shares)
             scheduler.fleet.set_max_machines(int(places * nodes * CLOSED))
 
-    def extend_status(self, hello: peers.PeerStatus, now: float) -> peers.PeerStatus:
-        """What this node says of itself, with its shares."""
+    def extend_status(self, status: peers.PeerStatus, now: float) -> peers.PeerStatus:
+        """What this node says of itself, with its shards."""
         shares = [
-            peers.HeldShard(share, replica.lease.fencing_token, replica.lease.may_answer(now))
-            for share, replica in sorted([*self._replicas.items()])
-            if share and replica.lease.is_leader
+            peers.HeldShard(shard, replica.lease.fencing_token, replica.lease.may_answer(now))
+            for shard, replica in sorted([*self._replicas.items()])
+            if shard and replica.lease.is_leader
         ]
         wanted: list[str] = []
         move = self._move
-        if move is not None and hello.entitled:
+        if move is not None and status.entitled:
             wanted = [""] * move[0] + [move[1]]
         return msgspec.structs.replace(
-            hello, held_shards=shares, shard_map_version=self.version, preferred_holders=wanted
+            status, held_shards=shares, shard_map_version=self.version, preferred_holders=wanted
         )
 
     # -- calls between holders ---------------------------------------------------------------
 
     def call_shard(self, action: CallShard, term: Any) -> None:
+        """Send a request to the leader of another shard; its reply comes back as an event."""
         self._pool.submit(self._call_shard, action, term)
 
     def _call_shard(self, action: CallShard, term: Any) -> None:
@@ -333,7 +341,7 @@
                 status, raw = client.request("POST", SHARD_CALL_PATH, body, CALL_S)
                 answer = decode_answer(raw) if status == 200 else None
         except (ClientError, ProtocolError) as error:
-            log.debug("call to share %d: %s", action.shard, error)
+            log.debug("call to shard failed shard=%d error=%s", action.shard, error)
         back.put((200 if answer is not None else 503, answer, 0))
 
 
@@ -345,8 +353,8 @@
 class _ReplyToScheduler:
     """Where an answer goes that nobody waits for: it becomes an event of the term."""
 
-    def __init__(self, post: Callable[[events.Event], None], term: Any, share: int) -> None:
-        self._post, self._term, self._share = post, term, share
+    def __init__(self, post: Callable[[events.Event], None], term: Any, shard: int) -> None:
+        self._post, self._term, self._share = post, term, shard
 
     def put(self, answer: tuple[int, Any, int]) -> None:
         status, body, _ = answer
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -1,9 +1,9 @@
-"""What the holder of a share tells the leader, and does for it.
+"""What the holder of a shard tells the leader, and does for it.
 
-Only the first share's holder, the leader, rents. The others tell it each second what
+Only the first shard's holder, the leader, rents. The others tell it each second what
 they need and what their machines are, and it answers which idle ones the plan does
-without and which others need more. Old or lost digests cost money or time, never a
-rule: a machine is given back or handed on by the holder that knows it to be empty.
+without and which others need more. Old or lost summaries cost money or time, never a
+rule: a machine is given back or handed off by the holder that knows it to be empty.
 """
 
 from __future__ import annotations
@@ -47,12 +47,13 @@
 
 
 class ShardReporter:
-    """Of one term of a share other than the first."""
+    """Of one term of a shard other than the first."""
 
-    def __init__(self, scheduler: ShardScheduler, number: int, handing: MachineTransfer) -> None:
+    def __init__(self, scheduler: ShardScheduler, number: int, transfer: MachineTransfer) -> None:
+        """For one term of shard ``number``, which is not the first."""
         self._scheduler = scheduler
         self._shard = number
-        self._transfer = handing
+        self._transfer = transfer
         # What the leader knows of each machine, and what is on its way to it.
         self._leader_token = 0
         self._seq = 0
@@ -62,6 +63,7 @@
         self._evicted_in_flight: set[tuple[str, str]] = set()
 
     def machine_evicted(self, kind: int, zone: int) -> None:
+        """Note that a spot machine of this type and zone was reclaimed."""
         names = self._scheduler.cluster
         self._evicted.add((names.type_names.names[kind], names.zones.names[zone]))
 
@@ -108,6 +110,7 @@
         )
 
     def plan_received(self, plan: FleetPlan) -> None:
+        """Apply the leader's answer: machine types, hand-offs, machines to return."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         for name, said in self._in_flight.items():
             if said[0] in (GONE, MOVED):
@@ -116,15 +119,15 @@
                 self._acknowledged[name] = said
         self._evicted -= self._evicted_in_flight
         if plan.fencing_token != self._leader_token:
-            # Another leader, which was told nothing before this digest.
+            # Another leader, which was told nothing before this summary.
             self._leader_token = plan.fencing_token
             self._acknowledged = dict(self._in_flight)
         self._in_flight, self._evicted_in_flight = {}, set()
         if plan.types:
             scheduler.fleet.set_machine_types(plan.types)
         scheduler.fleet.on_demand_spare[False] = plan.on_demand_spare
-        for name, share in plan.transfers:
-            self._transfer.hand_off(name, share)
+        for name, shard in plan.transfers:
+            self._transfer.hand_off(name, shard)
         leaving = [machine for name in plan.return_machines if (machine := cluster.machine(name))]
         leaving = [
             each
@@ -132,7 +135,7 @@
             if not (each.runs or each.unknown_runs or each.deletion_requested)
         ]
         for machine in leaving:
-            log.info("returning idle machine %s", machine.name)
+            log.info("returning idle machine machine=%s", machine.name)
         if leaving:
             scheduler.delete_machines(leaving)
 
