--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -1,8 +1,8 @@
-"""Seats in one placement pass: who gets them, for whom they are kept, who stops.
+"""Units in one placement pass: who gets them, for whom they are kept, who stops.
 
-Seats are granted only with a place on a machine, and to a gang all at once, so
+Units are granted only with a place on a machine, and to a gang all at once, so
 nothing ever holds a part of what it needs while it waits for the rest. What
-keeps many small jobs from starving a large one is that counted resources which fall free
+keeps many small jobs from starving a large one is that units which fall free
 are *kept* for work that has lacked them for long. Whoever is kept for stands in
 one order over all resources, oldest first: the first waits for nobody but for
 work that runs, so no two can wait for each other.
@@ -20,20 +20,20 @@
 from appleshift.state.cluster_state import ASSIGNED, EXITED, OPEN, Job, TaskRun
 
 KEPT_FOR = 8
-"""So many jobs have counted resources kept at once; the others stand in line behind them."""
+"""So many jobs have units kept at once; the others stand in line behind them."""
 PER_RANK = 3.0
 """More urgent work yields to what starves only after this many times longer for
 each rank between them."""
 TURN_S = 60.0
-"""A job that has its counted resources and finds no machine gives way after so long, which
+"""A job that has its units and finds no machine gives way after so long, which
 is longer than machines take to come."""
 PROMISE_S = 10.0
-"""Seats of work that was stopped are the stopper's for so long, beyond its grace."""
+"""Units of work that was stopped are the stopper's for so long, beyond its grace."""
 
 
 @dataclass(slots=True)
 class WaitingJob:
-    """A job for which counted resources are kept."""
+    """A job for which units are kept."""
 
     job: Job
     since: float
@@ -50,14 +50,16 @@
 
 
 class Allocator:
-    """Implements ``coordination.counted.SeatPass``."""
+    """Implements ``placement.counted_resources.CountedResourcePass``."""
 
-    def __init__(self, book: Ledger, now: float, starve_s: float) -> None:
-        self._ledger = book
+    def __init__(self, ledger: Ledger, now: float, starve_s: float) -> None:
+        """For one placement pass; work that lacked units for ``starve_s`` seconds has units kept
+        for it."""
+        self._ledger = ledger
         self._now = now
         self._starve_s = starve_s
-        self._free = [resource.free(now) for resource in book.resources]
-        self._held = [resource.held for resource in book.resources]
+        self._free = [resource.free(now) for resource in ledger.resources]
+        self._held = [resource.held for resource in ledger.resources]
         self._lacking: set[int] = set()
         # Jobs that asked, with the tasks they had on machines by then.
         self._asked: dict[int, int] = {}
@@ -68,38 +70,38 @@
 
     def _enqueue_waiting(self) -> list[WaitingJob]:
         """Promises first, then what starves, the oldest first."""
-        book, now = self._ledger, self._now
+        ledger, now = self._ledger, self._now
         turns = []
-        for index, promise in list(book.promises.items()):
+        for index, promise in list(ledger.promises.items()):
             job = self._waits(index)
             if job is None or promise.until < now or not any(promise.needs.values()):
-                del book.promises[index]
+                del ledger.promises[index]
             else:
                 turns.append(WaitingJob(job, now, promise.needs, True, len(job.runs), False))
         lasting = self._lasting()
-        for index, since in sorted(book.waiting.items(), key=lambda entry: entry[1]):
+        for index, since in sorted(ledger.waiting.items(), key=lambda entry: entry[1]):
             job = self._waits(index)
             if job is None:
-                del book.waiting[index]
-                book.ready.pop(index, None)
+                del ledger.waiting[index]
+                ledger.ready.pop(index, None)
                 continue
             if now - since < self._starve_s or len(turns) >= KEPT_FOR:
                 continue
-            if index in book.promises or job.not_before > now or (job.gang and job.runs):
+            if index in ledger.promises or job.not_before > now or (job.gang and job.runs):
                 continue
             needs = self._needs(job)
-            ever = {r: book.resources[r].capacity(now) - lasting[r] for r in needs}
+            ever = {r: ledger.resources[r].capacity(now) - lasting[r] for r in needs}
             if any(count > ever[r] for r, count in needs.items()):
                 # What it lacks does not come by itself. Once a job that waited
-                # for one resource, all of it held by services, left three counted resources
+                # for one resource, all of it held by services, left three units
                 # of another idle for minutes.
                 continue
-            own = any(count > book.resources[r].room(job.team) for r, count in needs.items())
+            own = any(count > ledger.resources[r].room(job.team) for r, count in needs.items())
             turns.append(WaitingJob(job, since, needs, False, len(job.runs), own))
         return turns
 
     def _lasting(self) -> Counter[int]:
-        """Seats of work that need never end, by resource."""
+        """Units of work that need never end, by resource."""
         lasting: Counter[int] = Counter()
         for job in self._ledger.holding.values() if self._ledger.waiting else ():
             for number, count in job.counted_needs if job.service else ():
@@ -123,7 +125,7 @@
         return turn.promised or waited >= self._starve_s * (1.0 + PER_RANK * ranks)
 
     def _kept(self, job: Job, number: int) -> tuple[int, int]:
-        """Seats kept for others, and for others of its team within the team's limit.
+        """Units kept for others, and for others of its team within the team's limit.
 
         Who stands in line yields only to those before.
         """
@@ -139,16 +141,17 @@
         return kept, team
 
     def _open(self, job: Job, number: int) -> int:
-        """Seats that are free and not kept for others."""
+        """Units that are free and not kept for others."""
         return max(0, self._left(number) - self._kept(job, number)[0])
 
     # -- grants --------------------------------------------------------------------------
 
     def _left(self, number: int) -> int:
-        """Free counted resources, less what this pass has granted so far."""
+        """Free units, less what this pass has granted so far."""
         return self._free[number] - (self._ledger.resources[number].held - self._held[number])
 
     def max_tasks(self, job: Job, most: int) -> int:
+        """How many of a job's tasks may hold what they need now, ``most`` at most."""
         self._asked.setdefault(job.index, len(job.runs))
         for number, count in job.counted_needs:
             kept, of_team = self._kept(job, number)
@@ -158,6 +161,7 @@
         return 0 if job.gang and most < len(job.pending) else most
 
     def would_borrow(self, job: Job) -> bool:
+        """Whether the job's next start would take its team beyond a guarantee."""
         tasks = len(job.pending) if job.gang else 1
         resources = self._ledger.resources
         return any(
@@ -167,30 +171,33 @@
         )
 
     def no_machine_for(self, job: Job) -> None:
-        book = self._ledger
-        since = book.ready.setdefault(job.index, self._now)
+        """The job could have its units but found no machine; after a while its turn passes."""
+        ledger = self._ledger
+        since = ledger.ready.setdefault(job.index, self._now)
         if self._now - since > TURN_S:
             # It had its turn. What is kept for it any longer lies idle.
-            del book.ready[job.index]
-            book.promises.pop(job.index, None)
-            if job.index in book.waiting:
-                book.waiting[job.index] = self._now
+            del ledger.ready[job.index]
+            ledger.promises.pop(job.index, None)
+            if job.index in ledger.waiting:
+                ledger.waiting[job.index] = self._now
 
     def close(self) -> None:
-        book = self._ledger
+        """End of the pass: remember who lacked units and since when."""
+        ledger = self._ledger
         for index, before in self._asked.items():
             job = self._waits(index)
             started = job is not None and len(job.runs) > before
             if job is None or started:
-                book.waiting.pop(index, None)
-                book.ready.pop(index, None)
+                ledger.waiting.pop(index, None)
+                ledger.ready.pop(index, None)
             if job is not None and index in self._lacking:
                 # Work that got some of its tasks started does not starve.
-                book.waiting.setdefault(index, self._now)
+                ledger.waiting.setdefault(index, self._now)
 
     # -- whom to stop -----------------------------------------------------------------------
 
     def runs_to_stop(self) -> list[TaskRun]:
+        """Task runs to stop for totals lowered under the rule STOP; their grace is set."""
         chosen: list[TaskRun] = []
         for number, resource in enumerate(self._ledger.resources):
             definition = resource.definition
@@ -206,6 +213,7 @@
         return chosen
 
     def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
+        """Note that tasks lack units; returns task runs to stop for them if ``urgent``."""
         self._lacking.add(job.index)
         self._ledger.ready.pop(job.index, None)
         if not urgent or job.index in self._ledger.promises or (job.gang and job.runs):
@@ -304,7 +312,7 @@
                 coming[number] += count
 
     def _all_coming(self) -> Counter[int]:
-        """Seats of work that is being stopped, by resource."""
+        """Units of work that is being stopped, by resource."""
         if self._coming is None:
             self._coming = Counter()
             for job in self._ledger.holding.values():
@@ -314,7 +322,7 @@
         return self._coming
 
     def _spare_coming(self, number: int) -> int:
-        """Seats that stops will free and that nobody was promised."""
+        """Units that stops will free and that nobody was committed."""
         promised = sum(turn.needs.get(number, 0) for turn in self._turns if turn.promised)
         owed = max(0, promised - max(0, self._left(number)))
         return max(0, self._all_coming()[number] - owed)
--- a/appleshift/counted_resources/display.py
+++ b/appleshift/counted_resources/display.py
@@ -28,6 +28,7 @@
 
 
 def current(ask: Ask) -> dict[str, Any]:
+    """The resources as a node shows them now; NotShownError if it does not."""
     view: dict[str, Any] = _get(ask, "/seats")
     return view
 
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -1,8 +1,8 @@
-"""The count: who holds how many counted resources of what.
+"""The count: who holds how many units of what.
 
 A unit is held from the assignment until the task is certainly gone, by the same
-proof that frees its room on a machine, since both follow ``Tables.assign`` and
-``Tables.free``. What a license server hands out is held a little longer: until
+proof that frees its room on a machine, since both follow ``ClusterState.assign`` and
+``ClusterState.free``. What a license server hands out is held a little longer: until
 the server has taken the unit back (``counted_resources/license_reservation.py``).
 """
 
@@ -35,12 +35,13 @@
         name: str,
         definition: CountedResourceDefinition | None,
         cluster: ClusterState,
-        account: LicenseReservation | None,
+        reservation: LicenseReservation | None,
     ) -> None:
+        """``account``: the reservation at a license server, if there is one."""
         self.name = name
         # None: a job names it that was accepted before its definition went.
         self.definition = definition
-        self.reservation = account
+        self.reservation = reservation
         self.held = 0
         self.teams = [0] * len(cluster.teams)
         self.team_limits = [0] * len(cluster.teams)
@@ -52,16 +53,17 @@
 
     @property
     def total(self) -> int:
+        """Units in all; 0 once the definition is gone."""
         return 0 if self.definition is None else self.definition.total
 
     def capacity(self, now: float) -> int:
-        """Seats that may be held at this moment."""
+        """Units that may be held at this moment."""
         if self.reservation is None:
             return self.total
         return min(self.total, self.reservation.capacity(now, self.total))
 
     def planning(self) -> int:
-        """Seats that machines are worth renting for."""
+        """Units that machines are worth renting for."""
         if self.reservation is None or self.reservation.standing is None:
             return self.total
         standing = self.reservation.standing
@@ -94,6 +96,7 @@
     """All counted resources, by dense index."""
 
     def __init__(self, cluster: ClusterState) -> None:
+        """Counts what is assigned in this cluster state."""
         self.cluster = cluster
         self.names = NameIndex()
         self.resources: list[CountedResource] = []
@@ -101,20 +104,24 @@
         # since when.
         self.holding: dict[int, Job] = {}
         self.waiting: dict[int, float] = {}
-        # By job: since when its counted resources were there for the asking, without a machine.
+        # By job: since when its units were there for the asking, without a machine.
         self.ready: dict[int, float] = {}
         self.promises: dict[int, Commitment] = {}
 
     def define(
-        self, definition: CountedResourceDefinition, account: LicenseReservation | None
+        self, definition: CountedResourceDefinition, reservation: LicenseReservation | None
     ) -> None:
+        """Add a resource; once a term, before jobs are read."""
         number = self.names.add(definition.name)
         assert number == len(self.resources), "defined once a term, before jobs are read"
-        self.resources.append(CountedResource(definition.name, definition, self.cluster, account))
+        self.resources.append(
+            CountedResource(definition.name, definition, self.cluster, reservation)
+        )
 
-    # -- bookkeeping.tables.Counted ----------------------------------------------
+    # -- CountedResourceTracker ----------------------------------------------
 
     def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
+        """What each task of a job holds: (resource index, count)."""
         try:
             wanted = requested_counts(spec.counted_resources)
         except ProtocolError:
@@ -129,12 +136,14 @@
         return tuple(needs)
 
     def max_concurrent_tasks(self, spec: Submission) -> int:
+        """How many of a job's tasks can ever hold what they need at once."""
         tasks = spec.tasks
         for number, count in self.needs_of(spec):
             tasks = min(tasks, self.resources[number].planning() // count)
         return tasks
 
     def assigned(self, run: TaskRun) -> None:
+        """A task run was assigned and holds its units from now on."""
         job = run.job
         self.holding[job.index] = job
         promise = self.promises.get(job.index)
@@ -148,6 +157,7 @@
                 resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
 
     def freed(self, run: TaskRun) -> None:
+        """A task run is certainly gone; its units are free."""
         job = run.job
         if not job.runs:
             self.holding.pop(job.index, None)
@@ -163,6 +173,7 @@
     # -- questions -------------------------------------------------------------------
 
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
+        """HTTP status and reason if a submission can never get what it asks for; else None."""
         try:
             wanted = requested_counts(spec.counted_resources)
         except ProtocolError as error:
@@ -182,7 +193,7 @@
         return None
 
     def holders(self, number: int) -> list[tuple[Job, int]]:
-        """Jobs that hold counted resources of a resource, and how many."""
+        """Jobs that hold units of a resource, and how many."""
         found = []
         for job in self.holding.values():
             count = dict(job.counted_needs).get(number, 0) * len(job.runs)
@@ -191,9 +202,9 @@
         return found
 
     def allocate(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
-        """Seats for jobs in their order of urgency, those that hold some first.
+        """Units for jobs in their order of urgency, those that hold some first.
 
-        Returns tasks by job and counted resources by resource: what can be in use at once.
+        Returns tasks by job and units by resource: what can be in use at once.
         """
         left = [resource.planning() for resource in self.resources]
         team_left = [
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -30,6 +30,7 @@
         runtime: Runtime,
         entitled: Callable[[], bool],
     ) -> None:
+        """``entitled`` is asked right before each request."""
         self._post = post
         self._connect = connect
         # Asked again right before a heartbeat leaves: a node that was frozen
@@ -40,6 +41,7 @@
         self._clients: dict[str, HttpCaller] = {}
 
     def send(self, ask: PendingReservationRequest, term: Any) -> None:
+        """Send a request on the pool; its reply comes back as an event of the term."""
         client = self._clients.get(ask.address)
         if client is None:
             client = self._clients[ask.address] = self._connect(split_address(ask.address))
@@ -61,4 +63,5 @@
         self._post(events.LicenseServerAnswered(term, ask.resource, ask.heartbeat.serial, standing))
 
     def stop(self) -> None:
+        """Drop waiting requests; those under way end by their timeouts."""
         self._pool.stop()
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -1,6 +1,6 @@
 """Our account at a license server: what it reserves for us, and for how long.
 
-Sans-IO. The leader keeps a reservation by heartbeats; tasks check their counted resources
+Sans-IO. The leader keeps a reservation by heartbeats; tasks check their units
 out of it. Three things make a count here safe:
 
 - a reservation counts only until its time certainly ran out, measured from when
@@ -52,6 +52,7 @@
     """One resource's reservation, for one term."""
 
     def __init__(self, resource: str, server: LicenseServer, token: int) -> None:
+        """For one term; serial numbers begin with its fencing token."""
         self.resource = resource
         self.server = server
         self.standing: ReservationReply | None = None
@@ -65,8 +66,8 @@
         # The least that heartbeats reserved of which the outcome is not known:
         # the server may have shrunk the reservation to that already.
         self._unsettled: int | None = None
-        # Seats by holder: of tasks that may be on machines, and given back but
-        # not yet reclaimed by the server.
+        # Units by holder: of tasks that may be on machines, and given back but
+        # not yet taken back by the server.
         self._holders: dict[str, int] = {}
         self._returning: OrderedDict[str, int] = OrderedDict()
         self._pending = 0
@@ -76,9 +77,11 @@
     # -- what the count says ---------------------------------------------------------
 
     def checked_out(self, holder: str, count: int) -> None:
+        """A task run holds units of the reservation from now on."""
         self._holders[holder] = count
 
     def checked_in(self, holder: str, count: int, started: bool) -> None:
+        """A task run gave its units back; ``started``: the server may know of it."""
         self._holders.pop(holder, None)
         if started:
             self._return(holder, count)
@@ -94,11 +97,11 @@
             self._pending += count
 
     def pending(self) -> int:
-        """Seats given back that the server may still count as ours."""
+        """Units given back that the server may still count as ours."""
         return self._pending
 
     def capacity(self, now: float, total: int) -> int:
-        """Seats that may be held of the reservation right now."""
+        """Units that may be held of the reservation right now."""
         trusts = self.server.on_silence == TRUST
         if self.standing is None:
             return total if trusts and self.refused is None and self._silent(now) else 0
@@ -112,6 +115,7 @@
         return self._first_asked is not None and now - self._first_asked > self.server.silent_s
 
     def valid(self, now: float) -> bool:
+        """Whether the last reply of the server still holds at ``now``."""
         if self.standing is None:
             return False
         return now <= self.sent_at + min(self.server.silent_s, self.standing.ttl_s / DRIFT)
@@ -144,7 +148,7 @@
         return PendingReservationRequest(self.resource, self.server.address, self._asking)
 
     def reply_received(self, serial: int, standing: ReservationReply | None, now: float) -> bool:
-        """The server's answer to a heartbeat, or None; true if it may free counted resources."""
+        """The server's answer to a heartbeat, or None; true if it may free units."""
         asked = self._asking
         if asked is None or asked.serial != serial:
             # Late, or of an earlier request: what it says is out of date.
@@ -190,6 +194,7 @@
         return None
 
     def view(self, now: float) -> dict[str, Any]:
+        """State of the reservation, for operators."""
         standing = self.standing
         return {
             "address": self.server.address,
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -1,6 +1,6 @@
 """Counted resources as a part of the scheduler, for one term.
 
-Implements ``coordination.counted.Seats``; owned by the scheduler's thread.
+Implements ``coordination.counted.Units``; owned by the thread of the scheduler.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 log = logging.getLogger(__name__)
 
 LOOK_S = 1.0
-"""Time alone changes what may be granted: turns, lease votes, silence."""
+"""Time alone changes what may be granted: turns, commitments, silence."""
 MAX_SHOWN = 400
 """Jobs that an answer lists for each resource; 64 KiB must hold it."""
 
@@ -51,16 +51,19 @@
         token: int,
         wall: float,
     ) -> None:
+        """For one term; definitions that the log does not have yet are appended to it."""
         super().__init__(replayer.cluster)
         self.rules = rules
         self._write_ahead_log = write_ahead_log
-        self.audit_log = _trail_of(replayer, write_ahead_log)
+        self.audit_log = _follow_audit(replayer, write_ahead_log)
         write_ahead_log.on_record_durable = self.audit_log.apply
         self._next_look = 0.0
         for definition in definitions:
             server = definition.server
-            account = None if server is None else LicenseReservation(definition.name, server, token)
-            self.define(definition, account)
+            reservation = (
+                None if server is None else LicenseReservation(definition.name, server, token)
+            )
+            self.define(definition, reservation)
             if replayer.counted_resources.get(definition.name) != to_record(definition):
                 record = records.counted_resource_record(
                     definition.name, to_record(definition), wall
@@ -79,22 +82,25 @@
 
     def end_recovery(self) -> None:
         """After that: what the servers may not know to be given back."""
-        accounts = [each.reservation for each in self.resources if each.reservation is not None]
-        for name, attempt in self.audit_log.returns() if accounts else ():
-            for account in accounts:
-                account.returned_before(holder_name(name, attempt))
+        reservations = [each.reservation for each in self.resources if each.reservation is not None]
+        for name, attempt in self.audit_log.returns() if reservations else ():
+            for reservation in reservations:
+                reservation.returned_before(holder_name(name, attempt))
 
     # -- passes ------------------------------------------------------------------------
 
     def begin_pass(self, now: float) -> Allocator:
+        """Units in one placement pass."""
         return Allocator(self, now, self.rules.starve_s)
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
+        """By job index: how many of its tasks can hold what they need at once."""
         return self.allocate([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
 
     # -- time --------------------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> bool:
+        """Whether time alone may have changed what can be granted."""
         if now < self._next_look:
             return False
         self._next_look = now + LOOK_S
@@ -111,14 +117,14 @@
             return []
         wanted = self._wanted()
         found = []
-        for number, account in served:
+        for number, reservation in served:
             want = min(self.resources[number].total, wanted[number])
-            if account.request_due(now, want):
-                found.append(account.next_request(now, want))
+            if reservation.request_due(now, want):
+                found.append(reservation.next_request(now, want))
         return found
 
     def _wanted(self) -> Counter[int]:
-        """Seats that open jobs could hold, were there enough of them."""
+        """Units that open jobs could hold, were there enough of them."""
         wanted: Counter[int] = Counter()
         for job in self.cluster.jobs.values():
             for number, count in job.counted_needs if job.status == OPEN else ():
@@ -130,13 +136,14 @@
     ) -> bool:
         """A license server's answer, or that there was none; true: look again."""
         number = self.names.get(name)
-        account = self.resources[number].reservation if number >= 0 else None
-        return account is not None and account.reply_received(serial, standing, now)
+        reservation = self.resources[number].reservation if number >= 0 else None
+        return reservation is not None and reservation.reply_received(serial, standing, now)
 
     # -- durable ------------------------------------------------------------------------
 
     def definition_records(self) -> list[Record]:
         # Time 0: no change, so no entry of the audit.
+        """Records that define the resources, for a snapshot."""
         return [
             records.counted_resource_record(each.name, to_record(each.definition), 0.0)
             for each in self.resources
@@ -144,20 +151,24 @@
         ]
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
+        """Entries of the audit that no stored page holds yet."""
         self.audit_log.saved(self._write_ahead_log.header.audit_pages[2])
         return list(self.audit_log.tail)
 
     @property
     def audit_pages(self) -> int:
+        """Pages of the audit that are kept."""
         return self.rules.history_pages
 
     # -- to look at ------------------------------------------------------------------------
 
     def view(self, now: float) -> dict[str, Any]:
+        """All resources, for operators."""
         rows = [self.ledger_view(number, now) for number in range(len(self.resources))]
         return {"resources": rows, "starving_after_s": self.rules.starve_s}
 
     def ledger_view(self, number: int, now: float) -> dict[str, Any]:
+        """One resource as the ledger shows it, with what waits for it."""
         row = self.view_of(number, now)
         most = max(1, MAX_SHOWN // max(1, len(self.resources)))
         row["jobs_not_shown"] = max(0, len(row["jobs"]) - most)
@@ -182,8 +193,8 @@
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
-def _trail_of(replayer: LogReplayer, write_ahead_log: WriteAheadLog) -> AuditLog:
-    """The trail that followed the log, or a new one where nothing was counted yet."""
+def _follow_audit(replayer: LogReplayer, write_ahead_log: WriteAheadLog) -> AuditLog:
+    """The audit log that followed the log, or a new one where nothing was counted yet."""
     if isinstance(replayer.audit_log, AuditLog):
         return replayer.audit_log
     trail = AuditLog(write_ahead_log.header.audit_pages[2])
