--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -9,7 +9,7 @@
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.storage.key_value_store import KeyValueStore, StoreError
-from appleshift.storage.write_ahead_log import audit_key
+from appleshift.storage.keys import audit_key
 from appleshift.transport.concurrency import RateLimiter
 from appleshift.transport.server import Request, Response
 
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -31,14 +31,11 @@
 from appleshift.protocol.workers import HeartbeatHeader
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.state.cluster_state import ClusterState
-from appleshift.storage.key_value_store import (
-    CompareFailedError,
-    KeyValueStore,
-    StoreError,
-    recover,
-)
+from appleshift.storage.key_value_store import CompareFailedError, KeyValueStore, StoreError
+from appleshift.storage.keys import shard_prefix
 from appleshift.storage.records import LogReplayer, RecordFollower
-from appleshift.storage.write_ahead_log import WriteAheadLog, shard_prefix
+from appleshift.storage.recovery import recover
+from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.client import ClientError, HttpCaller
 from appleshift.transport.concurrency import Runtime
 
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -43,9 +43,10 @@
 from appleshift.sharding.shard_map import ShardMap, new_epoch
 from appleshift.sharding.sharding import Sharding
 from appleshift.state.cluster_state import ClusterState
-from appleshift.storage.key_value_store import CompareFailedError, StoreError, recover
+from appleshift.storage.key_value_store import CompareFailedError, StoreError
+from appleshift.storage.keys import shard_prefix
 from appleshift.storage.records import LogReplayer
-from appleshift.storage.write_ahead_log import shard_prefix
+from appleshift.storage.recovery import recover
 from appleshift.transport.client import ClientError
 from appleshift.transport.concurrency import ThreadPool
 
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -1,68 +1,70 @@
-"""The state service as the node uses it: reads, transactions, leases, watches."""
+"""Client of the key-value store: reads, transactions, leases and watches."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from collections.abc import Callable
+from typing import Any, TypeVar
 
+from appleshift.errors import AppleshiftError
 from appleshift.protocol import kv
-from appleshift.protocol.wire import ProtocolError, encode, json_size
-from appleshift.storage.records import LogReplayer
-from appleshift.storage.write_ahead_log import (
-    FINAL_STATES_PREFIX,
-    HEADER_KEY,
-    LOG_PREFIX,
-    SNAPSHOT_PREFIX,
-    LogHeader,
-    final_key,
-    log_key,
-)
+from appleshift.protocol.wire import ProtocolError, encode
 from appleshift.transport.client import ClientError, HttpCaller
 from appleshift.transport.concurrency import RateLimiter, Runtime
 
 PAGE_ITEMS = 1000
-"""As many as the service puts into an answer. It cuts one short by size, too, so
-asking for fewer only costs requests: with 60 a new leader waited a second for
-its own rate budget."""
+"""Keys of a page: as many as the service puts into an answer. It also cuts an answer short by
+size, so asking for fewer only costs requests: with pages of 60 a new leader waited a second
+for its own rate limit."""
+WATCH_TIMEOUT_MARGIN_S = 2.0
+"""How much longer than it asked the service to hold a watch a client waits for the answer."""
 
+_Answer = TypeVar("_Answer")
 
-class StoreError(Exception):
-    """The state service gave no usable answer; ``refused``: it did nothing."""
+
+class StoreError(AppleshiftError):
+    """The store gave no usable answer."""
 
     def __init__(self, reason: str, refused: bool) -> None:
+        """Describe the failure; ``refused``: the store certainly did nothing."""
         super().__init__(reason)
         self.refused = refused
 
 
-class LeaseExpiredError(Exception):
+class LeaseExpiredError(AppleshiftError):
     """The lease has ended."""
 
 
-class CompareFailedError(Exception):
-    """A transaction's conditions do not hold."""
+class CompareFailedError(AppleshiftError):
+    """Guards of a transaction do not hold, and nothing of it was applied."""
 
     def __init__(self, failed: list[str]) -> None:
+        """Name the keys whose guards failed."""
         super().__init__(", ".join(failed))
         self.failed = failed
 
 
 class KeyValueStore:
-    """Blocking calls; every failure is one of the errors above."""
+    """A blocking client with a rate limit; every call may raise ``StoreError``.
+
+    Timeouts are in seconds.
+    """
 
     def __init__(self, client: HttpCaller, rps: float, runtime: Runtime) -> None:
+        """Use ``client`` for at most ``rps`` requests a second."""
         self._client = client
-        self._budget = RateLimiter(runtime, max(1.0, rps))
+        self._rate_limiter = RateLimiter(runtime, max(1.0, rps))
         self.is_answering = False
-        """Whether it did when it was asked last."""
+        """Whether the store answered the last request."""
 
     def _call(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        self._budget.acquire()
+        """Send one request; return its status, which is below 500 and not 429, and body."""
+        self._rate_limiter.acquire()
         try:
             data = None if body is None else encode(body)
             status, answer = self._client.request(method, path, data, timeout)
         except ClientError as error:
             self.is_answering = False
-            raise StoreError(str(error), refused=False) from None
+            raise StoreError(str(error), refused=False) from error
         self.is_answering = status < 500
         if status in (429, 503):
             raise StoreError(f"{path}: {status}", refused=True)
@@ -70,28 +72,29 @@
             raise StoreError(f"{path}: {status}", refused=False)
         return status, answer
 
-    def get(self, key: str, timeout: float = 1.0) -> kv.Item | None:
-        status, body = self._call("GET", f"/kv/{key}", None, timeout)
-        if status == 404:
-            return None
-        item: kv.Item = self._decoded(status, body, kv.decode_item)
-        return item
-
     @staticmethod
-    def _decoded(status: int, body: bytes, decode: Any) -> Any:
+    def _decode(status: int, body: bytes, decode: Callable[[bytes], _Answer]) -> _Answer:
         if status != 200:
             raise StoreError(f"unexpected status {status}", refused=False)
         try:
             return decode(body)
         except ProtocolError as error:
-            raise StoreError(f"unreadable answer: {error.reason}", refused=False) from None
+            raise StoreError(f"unreadable answer: {error.reason}", refused=False) from error
+
+    def get(self, key: str, timeout: float = 1.0) -> kv.Item | None:
+        """Return the item under a key, if there is one."""
+        status, body = self._call("GET", f"/kv/{key}", None, timeout)
+        if status == 404:
+            return None
+        return self._decode(status, body, kv.decode_item)
 
     def read_page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> kv.Page:
+        """Return up to ``limit`` items under a prefix whose keys follow ``after``."""
         status, body = self._call("GET", kv.page_path(prefix, after, limit), None, timeout)
-        page: kv.Page = self._decoded(status, body, kv.decode_page)
-        return page
+        return self._decode(status, body, kv.decode_page)
 
     def read_all(self, prefix: str, after: str = "") -> list[kv.Item]:
+        """Return all items under a prefix, in the order of their keys."""
         items: list[kv.Item] = []
         while True:
             page = self.read_page(prefix, after, PAGE_ITEMS)
@@ -103,20 +106,31 @@
     def compare_and_swap(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]], timeout: float = 1.0
     ) -> int:
+        """Apply changes if all guards hold; return the revision.
+
+        Raises:
+            CompareFailedError: a guard does not hold.
+            LeaseExpiredError: a lease that a change names has ended; the store answers
+                a malformed transaction alike.
+        """
         status, body = self._call("POST", "/txn", kv.transaction_body(guards, changes), timeout)
         if status == 409:
-            raise CompareFailedError(self._decoded(200, body, kv.decode_compare_failed))
+            raise CompareFailedError(self._decode(200, body, kv.decode_compare_failed))
         if status == 400:
             raise LeaseExpiredError(repr(body[:200]))
-        revision: int = self._decoded(status, body, kv.decode_transaction)
-        return revision
+        return self._decode(status, body, kv.decode_transaction)
 
     def grant_lease(self, ttl_s: float, timeout: float = 1.0) -> int:
+        """Return the number of a new lease."""
         status, body = self._call("POST", "/leases", kv.lease_body(ttl_s), timeout)
-        lease: int = self._decoded(status, body, kv.decode_lease)
-        return lease
+        return self._decode(status, body, kv.decode_lease)
 
     def renew_lease(self, lease: int, timeout: float) -> None:
+        """Extend a lease by its time to live.
+
+        Raises:
+            LeaseExpiredError: the lease has ended.
+        """
         status, _ = self._call("POST", f"/leases/{lease}/renew", {}, timeout)
         if status == 404:
             raise LeaseExpiredError(f"lease {lease}")
@@ -124,7 +138,7 @@
             raise StoreError(f"renewal: {status}", refused=False)
 
     def revoke_lease(self, lease: int) -> bool:
-        """End a lease; true if it has certainly ended."""
+        """End a lease; return whether it has certainly ended."""
         try:
             status, _ = self._call("DELETE", f"/leases/{lease}", None, 1.0)
         except StoreError:
@@ -132,61 +146,13 @@
         return status in (200, 204, 404)
 
     def watch(self, prefix: str, after: int, hold_s: float) -> kv.ChangeFeed | None:
-        """What changed; None if the history no longer goes back that far."""
+        """Return changes under a prefix since revision ``after``.
+
+        The store holds the request up to ``hold_s`` seconds until there is a change.
+        None if its history no longer goes back that far.
+        """
         path = kv.watch_path(prefix, after, hold_s)
-        status, body = self._call("GET", path, None, hold_s + 2.0)
+        status, body = self._call("GET", path, None, hold_s + WATCH_TIMEOUT_MARGIN_S)
         if status == 410:
             return None
-        changes: kv.ChangeFeed = self._decoded(status, body, kv.decode_changes)
-        return changes
-
-
-@dataclass(frozen=True, slots=True)
-class RecoveredLog:
-    """Where the log of a share goes on."""
-
-    header: LogHeader
-    header_version: int
-    next_entry: int
-    log_bytes: int
-    """Size of the log that no snapshot covers."""
-    orphaned_keys: list[str]
-    """Keys that a broken-off snapshot or clean-up left behind."""
-
-
-def recover(store: KeyValueStore, replayer: LogReplayer, prefix: str = "") -> RecoveredLog:
-    """Read snapshot and log of a share's key range into ``replay``."""
-    item = store.get(prefix + HEADER_KEY)
-    meta, version = LogHeader(), 0
-    if item is not None:
-        version = item.version
-        value = item.value
-        first, following, entries = value.get("audit", (0, 0, 0))
-        meta = LogHeader(
-            value["generation"],
-            value["pages"],
-            value["log_from"],
-            value["finals"],
-            (first, following, entries),
-        )
-        replayer.audit_entries_written = entries
-    leftovers: list[str] = []
-    last_final = final_key(meta.final_pages, prefix)
-    for row in store.read_all(prefix + FINAL_STATES_PREFIX) if meta.final_pages else []:
-        if row.key < last_final:
-            replayer.apply_final_states(row.value["records"])
-    snap = f"{prefix}{SNAPSHOT_PREFIX}{meta.generation:08d}/"
-    for row in store.read_all(prefix + SNAPSHOT_PREFIX):
-        if row.key.startswith(snap) and int(row.key[len(snap) :]) < meta.pages:
-            replayer.apply(row.value["records"])
-        else:
-            leftovers.append(row.key)
-    number, log_bytes = meta.first_entry, 0
-    for row in store.read_all(prefix + LOG_PREFIX):
-        if row.key < log_key(meta.first_entry, prefix):
-            leftovers.append(row.key)
-            continue
-        replayer.apply(row.value["records"])
-        log_bytes += json_size(row.value)
-        number = int(row.key[len(prefix + LOG_PREFIX) :]) + 1
-    return RecoveredLog(meta, version, number, log_bytes, leftovers)
+        return self._decode(status, body, kv.decode_changes)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -1,7 +1,7 @@
-"""The log's records: how changes are written down and read back.
+"""Records of the write-ahead log: how changes are encoded and replayed.
 
-A record is a short list that starts with its kind, since every byte counts
-against the state service's limits. Tasks are written as ranges.
+A record is a list that starts with its kind, a single letter, since every byte
+counts against the limits of the key-value store. Tasks are encoded as ranges.
 """
 
 from __future__ import annotations
@@ -45,13 +45,14 @@
 
 _SPEC_FIELDS = Submission.__struct_fields__
 _MAX_TASKS_PER_RECORD = 100
-"""Ranges of this many tasks fit the smallest value even if no two are neighbours."""
+"""Ranges of this many tasks fit the smallest value even if no two are adjacent."""
 
 
 def job_record(job: Job) -> Record:
+    """Record an accepted job, or a partition of another shard's job."""
     values = [getattr(job.spec, name) for name in _SPEC_FIELDS]
     if job.spec.counted_resources is None:
-        # As it was before there were seats: older versions read it, too.
+        # Versions without counted resources read the record, too: they know no such field.
         values.pop()
     record = [JOB, job.index, round(job.submitted, 3), values]
     return [*record, 1] if job.key != job.spec.id else record
@@ -65,62 +66,74 @@
     tasks: list[int],
     wall: float | None = None,
 ) -> list[Record]:
+    """Record that tasks may be on a machine from now on; ``wall``: seconds since 1970."""
     return [
-        [ASSIGN, job.index, attempt, machine.name, agent_epoch, to_ranges(some), *_at(job, wall)]
-        for some in _slices(tasks)
+        [ASSIGN, job.index, attempt, machine.name, agent_epoch, to_ranges(batch), *_time(job, wall)]
+        for batch in _batches(tasks)
     ]
 
 
 def free_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    return [[FREE, job.index, to_ranges(some), *_at(job, wall)] for some in _slices(tasks)]
+    """Record that tasks are certainly on no machine any more."""
+    return [[FREE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
 def done_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    return [[DONE, job.index, to_ranges(some), *_at(job, wall)] for some in _slices(tasks)]
+    """Record that tasks succeeded."""
+    return [[DONE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
 def counted_resource_record(name: str, definition: dict[str, Any] | None, wall: float) -> Record:
-    """A counted resource as it is from now on; None: no longer counted."""
+    """Record a counted resource as it is from now on; None: no longer counted."""
     return [COUNTED_RESOURCE, round(wall, 3), name, definition]
 
 
-def _at(job: Job, wall: float | None) -> tuple[float, ...]:
-    """When seats changed hands; what holds none has no such time."""
+def _time(job: Job, wall: float | None) -> tuple[float, ...]:
+    """When counted resources changed hands; jobs that hold none record no time."""
     return () if wall is None or not job.counted_needs else (round(wall, 3),)
 
 
 def cancel_record(job: Job) -> Record:
+    """Record that a job is cancelled."""
     return [CANCEL, job.index]
 
 
 def partitions_record(job: Job) -> Record:
-    """Which tasks of the job other shares run."""
-    return [PARTITIONS, job.index, [[*portion] for portion in job.partitions]]
+    """Record which tasks of the job other shards run."""
+    return [PARTITIONS, job.index, [[*partition] for partition in job.partitions]]
 
 
 def cancel_requested_record(job: Job) -> Record:
-    """Its user wants it cancelled: nothing of it starts any more, and other
-    shares are asked to end what they have. It is cancelled once they did."""
+    """Record that the user cancelled a job of which other shards run tasks.
+
+    Nothing of it starts any more, and the other shards are asked to end what they
+    have. The job is cancelled once they did.
+    """
     return [CANCEL_REQUESTED, job.index]
 
 
 def final_state_record(job_id: str, final: int) -> Record:
-    """The final state of an id that is no job here: it belongs elsewhere, or ended
-    before it came."""
+    """Record the final state of an id that is no job in this shard.
+
+    It belongs to another shard, or ended before it was submitted here.
+    """
     return [FINAL_STATE, job_id, final]
 
 
 def end_record(job: Job) -> Record:
+    """Record that a job is over and none of its tasks is on a machine."""
     return [END, job.index, job.status]
 
 
 def machine_type_records(types: list[MachineType]) -> list[Record]:
-    return [[MACHINE_TYPE, msgspec.to_builtins(kind)] for kind in types]
+    """Record machine types with their prices."""
+    return [[MACHINE_TYPE, msgspec.to_builtins(machine_type)] for machine_type in types]
 
 
 def machine_record(cluster: ClusterState, machine: Machine) -> Record:
-    kind, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
-    record = [MACHINE, machine.name, machine.addr, kind, zone, machine.spot]
+    """Record a machine whose address is known."""
+    type_name, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
+    record = [MACHINE, machine.name, machine.addr, type_name, zone, machine.spot]
     return (
         [*record, machine.transfer_count, machine.min_fencing_token]
         if machine.transfer_count
@@ -129,15 +142,16 @@
 
 
 def handed_off_record(handed_off: HandedOffMachine) -> Record:
-    """A machine without any task was handed on to another share."""
+    """Record that a machine without any task was handed off to another shard."""
     return [HANDED_OFF, *astuple(handed_off)]
 
 
 def machine_deleted_record(machine: Machine) -> Record:
+    """Record that a machine is gone for good."""
     return [MACHINE_DELETED, machine.name]
 
 
-def _slices(tasks: list[int]) -> list[list[int]]:
+def _batches(tasks: list[int]) -> list[list[int]]:
     ordered = sorted(tasks)
     return [
         ordered[start : start + _MAX_TASKS_PER_RECORD]
@@ -148,125 +162,93 @@
 class RecordFollower(Protocol):
     """Follows durable records, for the audit of counted resources."""
 
-    def apply(self, record: Record) -> None: ...
+    def apply(self, record: Record) -> None:
+        """Follow one record; called in the order of the log."""
 
 
 class LogReplayer:
-    """Rebuilds the tables from a snapshot and the log after it.
-
-    ``make_trail`` is called once counted resources turn up in the log, with the
-    number of entries that pages of the audit hold.
-    """
+    """Rebuilds the state of a shard from a snapshot and the log after it."""
 
     def __init__(
         self, cluster: ClusterState, make_audit_log: Callable[[int], RecordFollower] | None = None
     ) -> None:
+        """Fill ``cluster``.
+
+        ``make_audit_log`` is called once counted resources turn up in the log, with the
+        number of entries that pages of the audit hold.
+        """
         self.cluster = cluster
         self.make_audit_log = make_audit_log
         self.audit_log: RecordFollower | None = None
         self.audit_entries_written = 0
-        # Counted resources in force, by name, as they were written down.
+        # Definitions of the counted resources in force, by name, as they were recorded.
         self.counted_resources: dict[str, Any] = {}
         self.groups: Any = None
         self.unsaved_final_states: list[tuple[str, int]] = []
-        # All submissions that the log still holds, jobs that are over included.
+        # All submissions that the log still holds, those of ended jobs included.
         self.arrivals: list[tuple[float, Submission]] = []
-        # (job, task) -> (attempt, machine name, session): where a task may be.
+        # (job, task) -> (attempt, machine name, agent epoch): where a task may be.
         self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
     def apply_final_states(self, records: list[Record]) -> None:
+        """Apply a page of final states."""
         for job_id, status in records:
             self.cluster.final_states[job_id] = status
 
     def apply(self, records: list[Record]) -> None:
+        """Apply records in the order of the log."""
         for record in records:
             self._apply(record)
 
     def _apply(self, record: Record) -> None:
-        kind = record[0]
-        cluster = self.cluster
+        """Apply one record; kinds of later versions and records of ended jobs are ignored."""
         if self.audit_log is not None:
             self.audit_log.apply(record)
-        if kind == JOB:
-            _, index, submitted, values, *portion = record
-            spec = Submission(**dict(zip(_SPEC_FIELDS, values, strict=False)))
-            job = cluster.add_job(index, spec, submitted, bool(portion))
-            job.accepted = True
-            if not portion:
-                self.arrivals.append((submitted, spec))
-            return
-        if kind == MACHINE_TYPE:
-            cluster.set_types([msgspec.convert(record[1], MachineType)])
-            return
-        if kind == SPOT_GROUPS:
-            self.groups = record[1]
-            return
-        if kind == MACHINE:
-            _, name, addr, type_name, zone, spot, *moved = record
-            cluster.handed_off.pop(name, None)
-            machine = cluster.add_machine(name, type_name, zone, spot)
-            if machine is not None:
-                machine.addr = addr
-                machine.transfer_count, machine.min_fencing_token = moved or (0, 0)
-            return
-        if kind == HANDED_OFF:
-            given = HandedOffMachine(*record[1:])
-            machine = cluster.machine(given.name)
-            if machine is not None:
-                cluster.forget_machine(machine)
-            cluster.handed_off[given.name] = given
-            return
-        if kind == MACHINE_DELETED:
-            machine = cluster.machine(record[1])
-            if machine is not None:
-                cluster.drop_machine(machine)
-            return
-        if kind == COUNTED_RESOURCE:
-            self._apply_counted_resource(record)
-            return
-        if kind == NEXT_JOB_INDEX:
-            cluster.next_job_index = max(cluster.next_job_index, record[1])
-            return
-        if kind == FINAL_STATE:
-            _, job_id, final = record
-            cluster.final_states[job_id] = final
-            self.unsaved_final_states.append((job_id, final))
-            return
-        index = record[1]
-        known = cluster.jobs.get(index)
-        if known is None:
+        kind = record[0]
+        apply_to_cluster = _CLUSTER_RECORDS.get(kind)
+        if apply_to_cluster is not None:
+            apply_to_cluster(self, record)
             return
-        job = known
-        if kind == ASSIGN:
-            _, _, attempt, machine, agent_epoch, ranges, *_ = record
-            for task in from_ranges(ranges):
-                self.task_locations[(index, task)] = (attempt, machine, agent_epoch)
-            job.last_attempt = max(job.last_attempt, attempt)
-        elif kind == FREE:
-            for task in from_ranges(record[2]):
-                self.task_locations.pop((index, task), None)
-        elif kind == DONE:
-            for task in from_ranges(record[2]):
-                cluster.finish_task(job, task)
-            if job.done_count == job.spec.tasks:
-                job.status = FINISHED
-                job.done_durable = True
-        elif kind == PARTITIONS:
-            job.assign_partitions(record[2])
-        elif kind == CANCEL_REQUESTED:
-            job.status = CANCELLED
-            job.cancel_requested = True
-        elif kind == CANCEL:
-            if job.status != FINISHED:
-                job.status = CANCELLED
-                job.cancel_durable = True
-                job.cancel_requested = False
-        elif kind == END:
-            job.status = record[2]
-            for task in range(job.spec.tasks):
-                self.task_locations.pop((index, task), None)
-            self.unsaved_final_states.append((job.key, job.status))
-            cluster.retire(job)
+        job = self.cluster.jobs.get(record[1])
+        apply_to_job = _JOB_RECORDS.get(kind)
+        if job is not None and apply_to_job is not None:
+            apply_to_job(self, job, record)
+
+    # -- records of the cluster ----------------------------------------------
+
+    def _apply_submission(self, record: Record) -> None:
+        _, index, submitted, values, *partition = record
+        spec = Submission(**dict(zip(_SPEC_FIELDS, values, strict=False)))
+        job = self.cluster.add_job(index, spec, submitted, bool(partition))
+        job.accepted = True
+        if not partition:
+            self.arrivals.append((submitted, spec))
+
+    def _apply_machine_type(self, record: Record) -> None:
+        self.cluster.set_types([msgspec.convert(record[1], MachineType)])
+
+    def _apply_spot_groups(self, record: Record) -> None:
+        self.groups = record[1]
+
+    def _apply_machine(self, record: Record) -> None:
+        _, name, addr, type_name, zone, spot, *transfer = record
+        self.cluster.handed_off.pop(name, None)
+        machine = self.cluster.add_machine(name, type_name, zone, spot)
+        if machine is not None:
+            machine.addr = addr
+            machine.transfer_count, machine.min_fencing_token = transfer or (0, 0)
+
+    def _apply_handed_off(self, record: Record) -> None:
+        handed_off = HandedOffMachine(*record[1:])
+        machine = self.cluster.machine(handed_off.name)
+        if machine is not None:
+            self.cluster.forget_machine(machine)
+        self.cluster.handed_off[handed_off.name] = handed_off
+
+    def _apply_machine_deleted(self, record: Record) -> None:
+        machine = self.cluster.machine(record[1])
+        if machine is not None:
+            self.cluster.drop_machine(machine)
 
     def _apply_counted_resource(self, record: Record) -> None:
         if self.audit_log is None and self.make_audit_log is not None:
@@ -278,40 +260,120 @@
         else:
             self.counted_resources[name] = definition
 
+    def _apply_next_job_index(self, record: Record) -> None:
+        self.cluster.next_job_index = max(self.cluster.next_job_index, record[1])
+
+    def _apply_final_state(self, record: Record) -> None:
+        _, job_id, final = record
+        self.cluster.final_states[job_id] = final
+        self.unsaved_final_states.append((job_id, final))
+
+    # -- records of a job ----------------------------------------------------
+
+    def _apply_assign(self, job: Job, record: Record) -> None:
+        _, index, attempt, machine_name, agent_epoch, ranges, *_ = record
+        for task in from_ranges(ranges):
+            self.task_locations[(index, task)] = (attempt, machine_name, agent_epoch)
+        job.last_attempt = max(job.last_attempt, attempt)
+
+    def _apply_free(self, job: Job, record: Record) -> None:
+        for task in from_ranges(record[2]):
+            self.task_locations.pop((job.index, task), None)
+
+    def _apply_done(self, job: Job, record: Record) -> None:
+        for task in from_ranges(record[2]):
+            self.cluster.finish_task(job, task)
+        if job.done_count == job.spec.tasks:
+            job.status = FINISHED
+            job.done_durable = True
+
+    def _apply_partitions(self, job: Job, record: Record) -> None:
+        job.assign_partitions(record[2])
+
+    def _apply_cancel_requested(self, job: Job, record: Record) -> None:
+        job.status = CANCELLED
+        job.cancel_requested = True
+
+    def _apply_cancel(self, job: Job, record: Record) -> None:
+        if job.status != FINISHED:
+            job.status = CANCELLED
+            job.cancel_durable = True
+            job.cancel_requested = False
+
+    def _apply_end(self, job: Job, record: Record) -> None:
+        job.status = record[2]
+        for task in range(job.spec.tasks):
+            self.task_locations.pop((job.index, task), None)
+        self.unsaved_final_states.append((job.key, job.status))
+        self.cluster.retire(job)
+
+
+_CLUSTER_RECORDS: dict[str, Callable[[LogReplayer, Record], None]] = {
+    JOB: LogReplayer._apply_submission,
+    MACHINE_TYPE: LogReplayer._apply_machine_type,
+    SPOT_GROUPS: LogReplayer._apply_spot_groups,
+    MACHINE: LogReplayer._apply_machine,
+    HANDED_OFF: LogReplayer._apply_handed_off,
+    MACHINE_DELETED: LogReplayer._apply_machine_deleted,
+    COUNTED_RESOURCE: LogReplayer._apply_counted_resource,
+    NEXT_JOB_INDEX: LogReplayer._apply_next_job_index,
+    FINAL_STATE: LogReplayer._apply_final_state,
+}
+_JOB_RECORDS: dict[str, Callable[[LogReplayer, Job, Record], None]] = {
+    ASSIGN: LogReplayer._apply_assign,
+    FREE: LogReplayer._apply_free,
+    DONE: LogReplayer._apply_done,
+    PARTITIONS: LogReplayer._apply_partitions,
+    CANCEL_REQUESTED: LogReplayer._apply_cancel_requested,
+    CANCEL: LogReplayer._apply_cancel,
+    END: LogReplayer._apply_end,
+}
+"""Records whose second field is the index of a job that must still be live."""
+
 
 def live_records(
     cluster: ClusterState, groups: Any, counted_resources: list[Record] | None = None
 ) -> list[Record]:
-    """Records that rebuild the live state, for a snapshot."""
-    # What is counted comes first: jobs are read by it.
+    """Return the records that rebuild the live state, for a snapshot."""
+    # Definitions of counted resources come first: jobs are read by them.
     records = (counted_resources or []) + machine_type_records(cluster.types)
     if groups is not None:
         records.append([SPOT_GROUPS, groups])
-    # Ended jobs' numbers stay used: the log after the snapshot may name them.
+    # Indices of ended jobs stay used: the log after the snapshot may name them.
     records.append([NEXT_JOB_INDEX, cluster.next_job_index])
-    for machine in cluster.machines.values():
-        if machine.addr:
-            records.append(machine_record(cluster, machine))
-    records += [handed_off_record(given) for given in cluster.handed_off.values()]
+    records += [
+        machine_record(cluster, machine) for machine in cluster.machines.values() if machine.addr
+    ]
+    records += [handed_off_record(handed_off) for handed_off in cluster.handed_off.values()]
     for job in cluster.jobs.values():
-        records.append(job_record(job))
-        if job.partitions:
-            records.append(partitions_record(job))
-        # Where tasks may be, attempt by attempt and machine by machine.
-        by_place: dict[tuple[int, int, int], list[int]] = {}
-        for task, run in job.runs.items():
-            key = (run.attempt, run.machine.index, run.agent_epoch)
-            by_place.setdefault(key, []).append(task)
-        for (attempt, _, agent_epoch), tasks in by_place.items():
-            records += assign_records(job, attempt, job.runs[tasks[0]].machine, agent_epoch, tasks)
-        if job.last_attempt > max((attempt for attempt, _, _ in by_place), default=0):
-            # Attempts that are over stay used, too: a number that names two of
-            # them names two holders of a seat.
-            records.append([ASSIGN, job.index, job.last_attempt, "", 0, []])
-        done = [task for task in range(job.spec.tasks) if job.done[task]]
-        records += done_records(job, done)
-        if job.cancel_requested:
-            records.append(cancel_requested_record(job))
-        elif job.status == CANCELLED:
-            records.append(cancel_record(job))
+        records += _live_job_records(job)
+    return records
+
+
+def _live_job_records(job: Job) -> list[Record]:
+    records = [job_record(job)]
+    if job.partitions:
+        records.append(partitions_record(job))
+    records += _location_records(job)
+    records += done_records(job, [task for task in range(job.spec.tasks) if job.done[task]])
+    if job.cancel_requested:
+        records.append(cancel_requested_record(job))
+    elif job.status == CANCELLED:
+        records.append(cancel_record(job))
+    return records
+
+
+def _location_records(job: Job) -> list[Record]:
+    """Return where tasks may be, by attempt, machine and agent epoch."""
+    records: list[Record] = []
+    tasks_by_location: dict[tuple[int, int, int], list[int]] = {}
+    for task, run in job.runs.items():
+        location = (run.attempt, run.machine.index, run.agent_epoch)
+        tasks_by_location.setdefault(location, []).append(task)
+    for (attempt, _, agent_epoch), tasks in tasks_by_location.items():
+        records += assign_records(job, attempt, job.runs[tasks[0]].machine, agent_epoch, tasks)
+    if job.last_attempt > max((attempt for attempt, _, _ in tasks_by_location), default=0):
+        # Numbers of finished attempts stay used, too: a number that names two attempts
+        # would name two holders of a counted resource.
+        records.append([ASSIGN, job.index, job.last_attempt, "", 0, []])
     return records
--- /dev/null
+++ b/appleshift/storage/recovery.py
@@ -0,0 +1,100 @@
+"""Recovery: what a new leader reads from the key-value store before it writes anything."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from appleshift.protocol.wire import json_size
+from appleshift.storage.key_value_store import KeyValueStore
+from appleshift.storage.keys import (
+    FINAL_STATES_PREFIX,
+    HEADER_KEY,
+    LOG_PREFIX,
+    SNAPSHOT_PREFIX,
+    final_key,
+    log_entry_number,
+    log_key,
+    snapshot_prefix,
+)
+from appleshift.storage.log_header import LogHeader
+from appleshift.storage.records import LogReplayer
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveredLog:
+    """Where the log of a shard goes on."""
+
+    header: LogHeader
+    header_version: int
+    """Version of the header's key; 0: it does not exist."""
+    next_entry: int
+    """Number of the log entry that is written next."""
+    log_bytes: int
+    """Size of the log that no snapshot covers."""
+    orphaned_keys: list[str]
+    """Keys that an interrupted snapshot or clean-up left behind."""
+
+
+def recover(store: KeyValueStore, replayer: LogReplayer, prefix: str = "") -> RecoveredLog:
+    """Replay the snapshot and the log of a shard's key range.
+
+    Raises:
+        StoreError: the store gave no usable answer; the replayer is then half filled.
+    """
+    header, header_version = _read_header(store, replayer, prefix)
+    _replay_final_states(store, replayer, header, prefix)
+    orphaned_keys = _replay_snapshot(store, replayer, header, prefix)
+    next_entry, log_bytes, old_entries = _replay_log(store, replayer, header, prefix)
+    return RecoveredLog(header, header_version, next_entry, log_bytes, orphaned_keys + old_entries)
+
+
+def _read_header(store: KeyValueStore, replayer: LogReplayer, prefix: str) -> tuple[LogHeader, int]:
+    item = store.get(prefix + HEADER_KEY)
+    if item is None:
+        return LogHeader(), 0
+    header = LogHeader.from_value(item.value)
+    replayer.audit_entries_written = header.audit_pages[2]
+    return header, item.version
+
+
+def _replay_final_states(
+    store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
+) -> None:
+    if not header.final_pages:
+        return
+    # Pages from here on belong to a snapshot that never came into force.
+    end = final_key(header.final_pages, prefix)
+    for row in store.read_all(prefix + FINAL_STATES_PREFIX):
+        if row.key < end:
+            replayer.apply_final_states(row.value["records"])
+
+
+def _replay_snapshot(
+    store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
+) -> list[str]:
+    """Replay the snapshot in force; return the keys of pages of other snapshots."""
+    orphaned_keys: list[str] = []
+    in_force = snapshot_prefix(header.generation, prefix)
+    for row in store.read_all(prefix + SNAPSHOT_PREFIX):
+        if row.key.startswith(in_force) and int(row.key[len(in_force) :]) < header.pages:
+            replayer.apply(row.value["records"])
+        else:
+            orphaned_keys.append(row.key)
+    return orphaned_keys
+
+
+def _replay_log(
+    store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
+) -> tuple[int, int, list[str]]:
+    """Replay the log after the snapshot; return next entry, bytes and obsolete keys."""
+    obsolete_keys: list[str] = []
+    first_key = log_key(header.first_entry, prefix)
+    next_entry, log_bytes = header.first_entry, 0
+    for row in store.read_all(prefix + LOG_PREFIX):
+        if row.key < first_key:
+            obsolete_keys.append(row.key)
+            continue
+        replayer.apply(row.value["records"])
+        log_bytes += json_size(row.value)
+        next_entry = log_entry_number(row.key, prefix) + 1
+    return next_entry, log_bytes, obsolete_keys
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -28,9 +28,11 @@
 from appleshift.state.cluster_state import ClusterState, Job, Machine
 from appleshift.state.name_index import from_ranges
 from appleshift.storage import records
-from appleshift.storage.key_value_store import recover
+from appleshift.storage.keys import audit_key
+from appleshift.storage.log_header import LogHeader
 from appleshift.storage.records import LogReplayer
-from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog, audit_key
+from appleshift.storage.recovery import recover
+from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.concurrency import ThreadRuntime
 
 ZONES = ["a", "b"]
--- a/tests/storage/test_write_ahead_log.py
+++ b/tests/storage/test_write_ahead_log.py
@@ -12,9 +12,12 @@
 from appleshift.protocol.wire import json_size
 from appleshift.state.cluster_state import CANCELLED, ClusterState
 from appleshift.storage import records
-from appleshift.storage.key_value_store import CompareFailedError, KeyValueStore, recover
+from appleshift.storage.key_value_store import CompareFailedError, KeyValueStore
+from appleshift.storage.keys import log_key
+from appleshift.storage.log_header import LogHeader
 from appleshift.storage.records import LogReplayer, live_records
-from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog, log_key
+from appleshift.storage.recovery import recover
+from appleshift.storage.write_ahead_log import WriteAheadLog
 from tests.support import builders
 from tests.support.builders import KINDS, submission
 from tests.support.stand_ins import StateService
--- a/tests/support/sharding_model.py
+++ b/tests/support/sharding_model.py
@@ -22,8 +22,9 @@
 from appleshift.sharding.sharding import Sharding
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage import records
+from appleshift.storage.log_header import LogHeader
 from appleshift.storage.records import LogReplayer
-from appleshift.storage.write_ahead_log import LogHeader, WriteAheadLog
+from appleshift.storage.write_ahead_log import WriteAheadLog
 from tests.support.builders import KINDS, submission
 from tests.support.counted_resources_model import Rig
 from tests.support.deployments import SMALL
