--- a/appleshift/state/name_index.py
+++ b/appleshift/state/name_index.py
@@ -1,34 +1,37 @@
-"""Names mapped to dense indices at the door."""
+"""Dense indices for names, and ranges as a compact form of sorted numbers."""
 
 from __future__ import annotations
 
 
 class NameIndex:
-    """Gives each new name the next small integer and never takes it back."""
+    """Assigns each new name the next small integer, for good."""
 
-    __slots__ = ("_numbers", "names")
+    __slots__ = ("_indices", "names")
 
     def __init__(self) -> None:
+        """Start empty."""
         self.names: list[str] = []
-        self._numbers: dict[str, int] = {}
+        self._indices: dict[str, int] = {}
 
     def __len__(self) -> int:
+        """Return the number of names."""
         return len(self.names)
 
     def add(self, name: str) -> int:
-        number = self._numbers.get(name)
-        if number is None:
-            number = self._numbers[name] = len(self.names)
+        """Return the index of a name, which is assigned if the name is new."""
+        index = self._indices.get(name)
+        if index is None:
+            index = self._indices[name] = len(self.names)
             self.names.append(name)
-        return number
+        return index
 
     def get(self, name: str) -> int:
-        """The name's index, or -1 for a name never seen."""
-        return self._numbers.get(name, -1)
+        """Return the index of a name; -1 for a name that was never added."""
+        return self._indices.get(name, -1)
 
 
 def to_ranges(numbers: list[int]) -> list[int]:
-    """Sorted numbers as flat [first, last] pairs: arrays mostly move in runs."""
+    """Return numbers as a flat list of [first, last] pairs; tasks mostly change in ranges."""
     flat: list[int] = []
     for number in sorted(numbers):
         if flat and number <= flat[-1] + 1:
@@ -39,6 +42,7 @@
 
 
 def from_ranges(flat: list[int]) -> list[int]:
+    """Return the numbers of flat [first, last] pairs; the inverse of ``to_ranges``."""
     return [
         number
         for first, last in zip(flat[::2], flat[1::2], strict=True)
--- /dev/null
+++ b/appleshift/state/resources.py
@@ -0,0 +1,18 @@
+"""Comparison of CPUs, GPUs and memory."""
+
+from __future__ import annotations
+
+from appleshift.protocol.cloud import MachineType
+from appleshift.protocol.users import Submission
+
+EPSILON = 1e-6
+"""Tolerance for sums of CPUs, GPUs or gigabytes: fractions do not add up exactly."""
+
+
+def type_fits(machine_type: MachineType, spec: Submission) -> bool:
+    """Return whether an empty machine of a type has room for a task."""
+    return (
+        machine_type.cpus + EPSILON >= spec.cpus
+        and machine_type.gpus + EPSILON >= spec.gpus
+        and machine_type.memory_gb + EPSILON >= spec.memory_gb
+    )
--- /dev/null
+++ b/appleshift/state/teams.py
@@ -0,0 +1,32 @@
+"""A team's use of machines and its limits."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from appleshift.protocol.settings import TeamLimits
+from appleshift.state.resources import EPSILON
+
+
+@dataclass(slots=True)
+class Team:
+    """CPUs and GPUs of machines that a team's tasks may be on."""
+
+    limits: TeamLimits
+    cpus: float = 0.0
+    gpus: float = 0.0
+
+    def within_limits(self, cpus: float, gpus: float) -> bool:
+        """Return whether the team may use so much more now. A limit of 0 means none."""
+        limits = self.limits
+        cpus_ok = limits.cpus_max <= 0 or self.cpus + cpus <= limits.cpus_max + EPSILON
+        gpus_ok = limits.gpus_max <= 0 or self.gpus + gpus <= limits.gpus_max + EPSILON
+        return cpus_ok and gpus_ok
+
+    def can_ever_fit(self, cpus: float, gpus: float) -> bool:
+        """Return whether the team's limits allow so much while it uses nothing else."""
+        limits = self.limits
+        return not (
+            (limits.cpus_max > 0 and cpus > limits.cpus_max + EPSILON)
+            or (limits.gpus_max > 0 and gpus > limits.gpus_max + EPSILON)
+        )
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -14,15 +14,11 @@
 
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import (
-    CANCELLED,
-    FINISHED,
-    ClusterState,
-    HandedOffMachine,
-    Job,
-    Machine,
-)
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
+from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.state.name_index import from_ranges, to_ranges
+from appleshift.state.states import CANCELLED, FINISHED
 
 Record = list[Any]
 
