--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -1,7 +1,25 @@
 """Records of the write-ahead log: how changes are encoded and replayed.
 
 A record is a list that starts with its kind, a single letter, since every byte
-counts against the limits of the key-value store. Tasks are encoded as ranges.
+counts against the limits of the key-value store. Tasks are encoded as ranges, flat
+lists of [first, last] pairs; jobs by their index. Fields in brackets may be missing::
+
+    J job, submitted, submission [, 1: a partition]   a job was accepted
+    A job, attempt, machine, agent epoch, tasks [, time] tasks may be on a machine
+    F job, tasks [, time]                             tasks are on no machine any more
+    D job, tasks [, time]                             tasks succeeded
+    P job, [[shard, first task, count], ...]          other shards run these tasks
+    K job                                             cancellation was requested
+    C job                                             the job is cancelled
+    E job, final state                                the job is over and forgotten
+    W job id, final state                             an id that is no job here
+    N job                                             the next job index
+    T machine type                                    a type with its price
+    G groups                                          groups of spot machines
+    M name, address, type, zone, spot [, transfer count, fencing token]
+    X name                                            the machine is gone
+    V fields of HandedOffMachine                      it was handed off to a shard
+    S time, name, definition or None                  a counted resource
 """
 
 from __future__ import annotations
