--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -14,7 +14,7 @@
 from appleshift.contracts.actions import Action
 from appleshift.objectives.objectives import Objectives
 from appleshift.placement.counted_resources import CountedResources
-from appleshift.placement.first_fit import Shortage
+from appleshift.placement.result import Shortage
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -10,8 +10,8 @@
 from appleshift.contracts.interfaces import SchedulerView, ZoneHealth
 from appleshift.machines.health import MachineHealth
 from appleshift.node_limits.node_limits import NodeLimits, TimeBudget
-from appleshift.placement.first_fit import Shortage
 from appleshift.placement.fit import stop_grace_s
+from appleshift.placement.result import Shortage
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine, MachineType
 from appleshift.protocol.users import Submission
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -1,4 +1,4 @@
-"""Which submissions can be taken at all."""
+"""Which submissions are accepted at all."""
 
 from __future__ import annotations
 
@@ -9,10 +9,12 @@
 
 
 def rejection(
-    cluster: ClusterState, spec: Submission, seats: CountedResources | None
+    cluster: ClusterState, spec: Submission, counted_resources: CountedResources | None
 ) -> tuple[int, str] | None:
-    """Why a submission can never run (422), is malformed (400), or cannot be
-    judged yet (503); None: it can be taken."""
+    """Why a submission cannot be accepted: HTTP status and reason; None: it can.
+
+    It can never run (422), is malformed (400), or cannot be judged yet (503).
+    """
     if not cluster.types:
         return 503, "machine types are not known yet"
     team = cluster.team_names.get(spec.team)
@@ -26,4 +28,4 @@
     tasks = 1 if spec.shape == users.ARRAY else spec.tasks
     if not cluster.teams[team].can_ever_fit(spec.cpus * tasks, spec.gpus * tasks):
         return 422, "more than the team's limit"
-    return None if seats is None else seats.rejection(spec)
+    return None if counted_resources is None else counted_resources.rejection(spec)
--- a/appleshift/placement/counted_resources.py
+++ b/appleshift/placement/counted_resources.py
@@ -1,4 +1,4 @@
-"""What the core needs of counted resources, where any are defined.
+"""What placement and the scheduler need of counted resources, where any are defined.
 
 ``appleshift.counted_resources`` implements these protocols; nothing here loads it.
 """
@@ -14,14 +14,14 @@
 
 
 class CountedResourcePass(Protocol):
-    """Seats in one placement pass."""
+    """Counted resources in one placement pass."""
 
     def runs_to_stop(self) -> list[TaskRun]:
-        """Whom a lowered total stops; their grace is set."""
+        """Tasks that a lowered total stops; each has its ``stop_grace_s`` set."""
         ...
 
     def would_borrow(self, job: Job) -> bool:
-        """Would its next task take its team beyond a guarantee?"""
+        """Whether the job's next task would take its team beyond a guarantee."""
         ...
 
     def max_tasks(self, job: Job, most: int) -> int:
@@ -29,41 +29,46 @@
         ...
 
     def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
-        """So many tasks wait for seats; ``urgent``: whom to stop for them."""
+        """Note that ``tasks`` tasks lack counted resources.
+
+        Returns the tasks to stop for them if it is ``urgent``.
+        """
         ...
 
     def no_machine_for(self, job: Job) -> None:
-        """It has its seats for the asking, and no machine."""
+        """Note that the job could have its counted resources and found no machine."""
         ...
 
     def close(self) -> None:
-        """The pass is over."""
+        """End the pass."""
         ...
 
 
 class CountedResources(CountedResourceTracker, Protocol):
-    """Part of the core: everything counted, for one term."""
+    """The counted resources of one leader term, as the scheduler uses them."""
 
     def begin_recovery(self) -> None:
-        """From now on whatever is assigned counts: what is recovered, first of all."""
+        """From now on whatever is assigned counts, beginning with what is recovered."""
         ...
 
     def end_recovery(self) -> None:
-        """All that may be on machines has been counted."""
+        """Note that all tasks that may be on machines have been counted."""
         ...
 
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
-        """Why a submission cannot be taken: status and reason."""
+        """Why a submission cannot be accepted: HTTP status and reason."""
         ...
 
-    def begin_pass(self, now: float) -> CountedResourcePass: ...
+    def begin_pass(self, now: float) -> CountedResourcePass:
+        """Begin a placement pass at monotonic time ``now`` in seconds."""
+        ...
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """By job: how many of its tasks can hold their seats at once, if all goes well."""
+        """By job index: how many of its tasks could hold their counted resources at once."""
         ...
 
     def step(self, now: float, wall: float) -> bool:
-        """Do what is due; true if a placement pass may find more than before."""
+        """Do what is due; true if a placement pass may place more than before."""
         ...
 
     def definition_records(self) -> list[Record]:
@@ -71,22 +76,29 @@
         ...
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
-        """What the trail holds since the last snapshot."""
+        """Entries of the audit log that are newer than the last snapshot."""
         ...
 
     @property
     def audit_pages(self) -> int:
-        """How many pages of the trail are kept."""
+        """How many pages of the audit log are kept."""
         ...
 
     def reservation_requests(self, now: float) -> list[Any]:
-        """What licence servers are to be asked now."""
+        """Requests that are due to licence servers."""
         ...
 
     def license_server_answered(self, name: str, serial: int, standing: Any, now: float) -> bool:
-        """What one answered, None for nothing; true if more may be granted."""
+        """Handle the reply of a licence server, None if there was none.
+
+        Returns true if more may be granted than before.
+        """
         ...
 
-    def view(self, now: float) -> dict[str, Any]: ...
+    def view(self, now: float) -> dict[str, Any]:
+        """All counted resources, for operators."""
+        ...
 
-    def history(self, after: int) -> dict[str, Any]: ...
+    def history(self, after: int) -> dict[str, Any]:
+        """Entries of the audit log with numbers above ``after``, for operators."""
+        ...
--- /dev/null
+++ b/appleshift/placement/urgency.py
@@ -0,0 +1,106 @@
+"""The order in which pending jobs are placed, and which gangs may reserve machines."""
+
+from __future__ import annotations
+
+from appleshift.objectives.objectives import RESERVE_ALWAYS_AFTER_S, Objectives
+from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.quota import within_guarantee
+from appleshift.state.cluster_state import OPEN, ClusterState, Job
+
+
+class UrgencyOrder:
+    """Orders the pending jobs of one placement pass."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        now: float,
+        wall: float,
+        objectives: Objectives,
+        counted_resources: CountedResourcePass | None,
+    ) -> None:
+        """``now`` is monotonic time, ``wall`` wall time, both in seconds."""
+        self._cluster = cluster
+        self._now = now
+        self._wall = wall
+        self._objectives = objectives
+        self._counted_resources = counted_resources
+        # Tasks of waiting gangs that can still be in time.
+        self._punctual_gang_tasks = 0
+        self._missed_objectives: dict[int, int] = {}
+
+    def pending_jobs(self) -> list[Job]:
+        """Open jobs with pending tasks, most urgent first."""
+        jobs = [
+            job
+            for job in self._cluster.jobs.values()
+            if job.pending and job.status == OPEN and job.accepted and job.not_before <= self._now
+        ]
+        self._punctual_gang_tasks = sum(
+            len(job.pending)
+            for job in jobs
+            if job.gang and not job.runs and not self.missed_objectives(job)
+        )
+        return sorted(jobs, key=self._urgency)
+
+    def age_s(self, job: Job) -> float:
+        """Time in seconds since the job was submitted."""
+        return self._wall - job.submitted
+
+    def missed_objectives(self, job: Job) -> int:
+        """How many of its objectives a job misses of which a task starts now."""
+        if job.service:
+            return 0
+        missed = self._missed_objectives.get(job.index)
+        if missed is None:
+            end = self._wall + self._cluster.expected_run_s(job)
+            missed = self._objectives.missed(job, self._wall, end)
+            self._missed_objectives[job.index] = missed
+        return missed
+
+    def should_reserve(self, job: Job) -> bool:
+        """Whether it is this gang's turn to keep the machines that fall free."""
+        age = self.age_s(job)
+        if not self._objectives.should_reserve(job, age):
+            return False
+        if age >= RESERVE_ALWAYS_AFTER_S:
+            return True
+        # With more work than room, what is kept for one gang makes several late.
+        other_tasks = self._punctual_gang_tasks
+        if not self.missed_objectives(job):
+            other_tasks -= len(job.pending)
+        return other_tasks < len(job.pending)
+
+    def _urgency(self, job: Job) -> tuple[int, bool, bool, bool, int, float, float]:
+        """The sort key of a job; the smallest is placed first.
+
+        Within a priority: what can still be in time, and of that the least work;
+        last best-effort work.
+
+        When there is more work than room, some jobs are late in any order; the least
+        work first keeps their number down. A team whose jobs are the largest would be
+        late each time: once far too few of its jobs met their objectives, those of it
+        that can still be in time go first.
+        """
+        spec = job.spec
+        borrows = self._borrows(job)
+        if job.service:
+            team_first = job.team in self._objectives.teams_behind
+            return (job.rank, borrows, False, not team_first, 0, 0.0, job.submitted)
+        work = len(job.pending) * self._cluster.expected_run_s(job) * max(spec.cpus, spec.gpus)
+        missed = self.missed_objectives(job)
+        team_first = missed == 0 and job.team in self._objectives.teams_behind
+        if job.gang and self.should_reserve(job):
+            work = 0.0
+            if self.age_s(job) >= RESERVE_ALWAYS_AFTER_S:
+                # Otherwise it would stay late for good: new small gangs are never all in time.
+                missed, team_first = 0, True
+        best_effort = self._objectives.is_best_effort(job)
+        return (job.rank, borrows, best_effort, not team_first, missed, work, job.submitted)
+
+    def _borrows(self, job: Job) -> bool:
+        """Whether the next task takes GPUs or counted resources beyond a guarantee."""
+        borrows = job.spec.gpus > 0 and not within_guarantee(self._cluster, job)
+        if job.counted_needs and self._counted_resources is not None:
+            borrows = borrows or self._counted_resources.would_borrow(job)
+        return borrows
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -7,8 +7,8 @@
 from collections import Counter
 
 from appleshift.contracts.interfaces import CapacityNeed, FleetView
-from appleshift.placement.first_fit import Shortage
 from appleshift.placement.fit import remaining_per_zone, tasks_that_fit
+from appleshift.placement.result import Shortage
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import MachineType
 from appleshift.provisioning.planner import CapacityPlan, SpotMarket, find_plan, machines_for
--- a/tests/counted_resources/test_counted_resources.py
+++ b/tests/counted_resources/test_counted_resources.py
@@ -15,7 +15,8 @@
 from appleshift.counted_resources.allocator import KEPT_FOR, PROMISE_S, TURN_S, Allocator
 from appleshift.counted_resources.ledger import Ledger
 from appleshift.counted_resources.license_reservation import LicenseReservation
-from appleshift.placement.first_fit import FirstFitPlacer, PlacementResult
+from appleshift.placement.first_fit import FirstFitPlacer
+from appleshift.placement.result import PlacementResult
 from appleshift.protocol.counted_resources import (
     CountedResourceDefinition,
     CountedResourceRules,
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.first_fit import FirstFitPlacer, PlacementResult
+from appleshift.placement.first_fit import FirstFitPlacer
+from appleshift.placement.result import PlacementResult
 from appleshift.protocol.settings import Objective, TeamLimits
 from appleshift.state.cluster_state import RUNNING, ClusterState, TaskRun
 from tests.support.builders import cluster, job, machine
