--- a/appleshift/provisioning/__init__.py
+++ b/appleshift/provisioning/__init__.py
@@ -1,1 +1,1 @@
-"""Scale-out and scale-in: the plan of the paper, what is rented by it and what is returned."""
+"""Scale-out and scale-in: the capacity plan, what is rented for it and what is returned."""
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -1,9 +1,8 @@
-"""Emptying a steady machine that is not needed, by moving its replicas.
+"""Emptying an on-demand machine that is not needed, by moving its replicas.
 
-Replicas may never end, so one on each of several half-empty machines would
-keep them all for good. When steady capacity is to spare, one machine at a time
-takes no new work; its replicas move, a few at a time, to machines that have
-their image, and once it is empty it goes back.
+Replicas may never end, so one on each of several half-empty machines would keep them all for
+good. When on-demand capacity is to spare, one machine at a time is cordoned; its replicas
+move, a few at a time, to machines that have their image, and once it is empty it is returned.
 """
 
 from __future__ import annotations
@@ -17,107 +16,126 @@
 log = logging.getLogger(__name__)
 
 SETTLED_S = 40.0
-"""Neither a new leader nor a replica that just started is disturbed."""
-MOVES_AT_ONCE = 2
+"""Neither a new leader nor a replica that started within so many seconds is disturbed."""
+CHOICE_INTERVAL_S = 2.0
+"""Between attempts to find a machine to empty, in seconds."""
+MAX_CONCURRENT_MOVES = 2
 MAX_UTILIZATION = 0.6
-"""A machine used more than this is not worth moving."""
+"""A machine of which a larger share of the CPUs is used is not worth emptying."""
 
 
 class Consolidation:
-    """At most one machine is being emptied."""
+    """Empties at most one machine at a time."""
 
     def __init__(self, fleet: FleetView) -> None:
-        self.fleet = fleet
-        self.cluster = fleet.cluster
-        self.started = fleet.scheduler.now
-        self.draining_machine: Machine | None = None
-        self.next_look = fleet.scheduler.now
+        """Start a term, in which nothing is emptied yet."""
+        self._fleet = fleet
+        self._cluster = fleet.cluster
+        self._started = fleet.scheduler.now
+        self._draining_machine: Machine | None = None
+        self._next_choice = fleet.scheduler.now
 
     def step(self, now: float) -> None:
-        machine = self.draining_machine
-        if machine is not None:
-            if machine.deletion_requested or machine.status != UP:
-                self.draining_machine = None
-            elif self.fleet.shortages:
-                log.info("machine %s is needed after all", machine.name)
-                machine.cordoned = False
-                self.draining_machine = None
-            elif machine.empty():
-                self.draining_machine = None
-                self.fleet.delete(machine, "its work fits elsewhere")
-            else:
-                self._move(machine, now)
-        elif now >= self.next_look:
-            self.next_look = now + 2.0
-            self._choose(now)
+        """Go on with the machine that is being emptied, or choose one."""
+        machine = self._draining_machine
+        if machine is None:
+            if now >= self._next_choice:
+                self._next_choice = now + CHOICE_INTERVAL_S
+                self._choose(now)
+        elif machine.deletion_requested or machine.status != UP:
+            self._draining_machine = None
+        elif self._fleet.shortages:
+            log.info("consolidation cancelled machine=%s", machine.name)
+            machine.cordoned = False
+            self._draining_machine = None
+        elif machine.empty():
+            self._draining_machine = None
+            self._fleet.delete(machine, "its work fits elsewhere")
+        else:
+            self._move_replicas(machine, now)
 
     def _choose(self, now: float) -> None:
-        fleet = self.fleet
-        if fleet.shortages or fleet.pending_rentals or now - self.started < SETTLED_S:
+        """Cordon the machine whose unused part costs most, if its replicas fit elsewhere."""
+        fleet = self._fleet
+        if fleet.shortages or fleet.pending_rentals or now - self._started < SETTLED_S:
             return
         spare = fleet.on_demand_spare.get(False, 0.0)
-        best: tuple[float, Machine] | None = None
-        for machine in self.cluster.machines.values():
-            kind = self.cluster.types[machine.type]
-            used = 1.0 - machine.free_cpus / kind.cpus if kind.cpus else 1.0
-            if machine.spot or kind.gpus > 0 or not machine.schedulable() or used > MAX_UTILIZATION:
+        best: Machine | None = None
+        best_saving = 0.0
+        for machine in self._cluster.machines.values():
+            utilization = self._utilization(machine)
+            if not self._may_be_emptied(machine, utilization, spare):
                 continue
-            if fleet.capacity_units(machine) * self.fleet.operator.consolidate_spare > spare:
-                continue
-            if machine.empty():
-                continue
-            saving = kind.price * (1.0 - used)
-            if best is None or saving > best[0]:
+            saving = self._cluster.types[machine.type].price * (1.0 - utilization)
+            if best is None or saving > best_saving:
                 replicas = [run for run in machine.runs.values() if run.job.service]
-                if self._room_elsewhere(machine, replicas, now):
-                    best = (saving, machine)
+                if self._fit_elsewhere(machine, replicas, now):
+                    best, best_saving = machine, saving
         if best is not None:
-            self.draining_machine = best[1]
-            self.draining_machine.cordoned = True
+            self._draining_machine = best
+            best.cordoned = True
             fleet.on_demand_spare[False] = 0.0
-            log.info("emptying machine %s", self.draining_machine.name)
+            log.info("consolidation started machine=%s", best.name)
+
+    def _utilization(self, machine: Machine) -> float:
+        """The share of a machine's CPUs that is used."""
+        machine_type = self._cluster.types[machine.type]
+        return 1.0 - machine.free_cpus / machine_type.cpus if machine_type.cpus else 1.0
 
-    def _room_elsewhere(self, leaving: Machine, replicas: list[TaskRun], now: float) -> bool:
-        """Would every replica find a machine with its image?"""
-        room = {
+    def _may_be_emptied(self, machine: Machine, utilization: float, spare: float) -> bool:
+        """Whether it is a little-used on-demand machine without GPUs that is not needed."""
+        if machine.spot or self._cluster.types[machine.type].gpus > 0:
+            return False
+        if not machine.schedulable() or utilization > MAX_UTILIZATION:
+            return False
+        units = self._fleet.capacity_units(machine)
+        if units * self._fleet.operator.consolidate_spare > spare:
+            return False
+        return not machine.empty()
+
+    def _fit_elsewhere(self, leaving: Machine, replicas: list[TaskRun], now: float) -> bool:
+        """Whether every replica would find a machine with its image."""
+        free_resources = {
             machine.index: [machine.free_cpus, machine.free_gpus, machine.free_memory]
-            for machine in self.cluster.machines.values()
+            for machine in self._cluster.machines.values()
             if machine is not leaving and machine.schedulable() and machine.avoid_until <= now
             if not machine.in_other_shard
         }
-        for run in replicas:
-            spec = run.job.spec
-            need = (spec.cpus, spec.gpus, spec.memory_gb)
-            for index, free in room.items():
-                machine = self.cluster.machines[index]
-                fits = all(have + EPSILON >= want for have, want in zip(free, need, strict=True))
-                if fits and self._allowed(run.job, run, machine):
-                    for position, want in enumerate(need):
-                        free[position] -= want
-                    break
-            else:
-                return False
-        return True
-
-    def _allowed(self, job: Job, run: TaskRun, machine: Machine) -> bool:
-        if job.image not in machine.images or not self.cluster.eligible_types(job)[machine.type]:
+        return all(self._take_room(run, free_resources) for run in replicas)
+
+    def _take_room(self, run: TaskRun, free_resources: dict[int, list[float]]) -> bool:
+        """Subtract a replica's resources from the first machine that may run it."""
+        spec = run.job.spec
+        needed = (spec.cpus, spec.gpus, spec.memory_gb)
+        for index, free in free_resources.items():
+            fits = all(have + EPSILON >= need for have, need in zip(free, needed, strict=True))
+            if fits and self._may_run_on(run.job, run, self._cluster.machines[index]):
+                for position, need in enumerate(needed):
+                    free[position] -= need
+                return True
+        return False
+
+    def _may_run_on(self, job: Job, run: TaskRun, machine: Machine) -> bool:
+        """Whether a job's constraints allow one of its replicas to move to a machine."""
+        if job.image not in machine.images or not self._cluster.eligible_types(job)[machine.type]:
             return False
         if (machine.spot and not job.spec.spot) or job.zone not in (-1, machine.zone):
             return False
         if job.spec.together and machine.zone != run.machine.zone:
             return False
-        rooms = remaining_per_zone(self.cluster, job)
-        same = machine.zone == run.machine.zone
-        return rooms is None or rooms[machine.zone] + same > 0
+        remaining = remaining_per_zone(self._cluster, job)
+        same_zone = machine.zone == run.machine.zone
+        return remaining is None or remaining[machine.zone] + same_zone > 0
 
-    def _move(self, machine: Machine, now: float) -> None:
+    def _move_replicas(self, machine: Machine, now: float) -> None:
+        """Stop a few replicas that fit elsewhere; placement starts them there."""
         moving = sum(1 for run in machine.runs.values() if run.stop_grace_s is not None)
         for run in list(machine.runs.values()):
-            if moving >= MOVES_AT_ONCE:
+            if moving >= MAX_CONCURRENT_MOVES:
                 return
             settled = run.state == RUNNING and now - run.running_since > SETTLED_S
             if not (run.job.service and settled and run.stop_grace_s is None):
                 continue
-            if self._room_elsewhere(machine, [run], now):
-                self.fleet.scheduler.stop_run(run, 0.0, "move")
+            if self._fit_elsewhere(machine, [run], now):
+                self._fleet.scheduler.stop_run(run, 0.0, "move")
                 moving += 1
--- /dev/null
+++ b/appleshift/provisioning/scale_in.py
@@ -0,0 +1,109 @@
+"""Returning idle machines that the capacity plan does without."""
+
+from __future__ import annotations
+
+import logging
+
+from appleshift.protocol import cloud
+from appleshift.provisioning.planner import CapacityPlan
+from appleshift.provisioning.pool_view import PoolView
+from appleshift.state.cluster_state import UP, Machine
+
+log = logging.getLogger(__name__)
+
+
+class SpareCapacity:
+    """What the plan does without; chosen machines are subtracted from it."""
+
+    def __init__(
+        self, pool: PoolView, plan: CapacityPlan, required: float, on_demand_only: float
+    ) -> None:
+        """``required`` and the part that may not be spot machines are in units."""
+        self._pool = pool
+        self._wanted = {(market.type_index, market.zone): count for market, count in plan.groups}
+        on_demand, spot = pool.capacity(False), pool.capacity(True)
+        self._on_demand = on_demand - max(on_demand_only, required - spot)
+        self._total = on_demand + spot - required
+        self.chosen: list[Machine] = []
+        """Machines to return."""
+
+    def choose(self, machine: Machine) -> None:
+        """Return this machine if there is enough capacity without it."""
+        units = self._pool.units(self._pool.cluster.types[machine.type])
+        if machine.spot:
+            if self._is_wanted(machine) or self._total < units:
+                return
+        elif self._on_demand < units:
+            return
+        else:
+            self._on_demand -= units
+        self._total -= units
+        self.chosen.append(machine)
+
+    def _is_wanted(self, machine: Machine) -> bool:
+        """Whether the spot group of a machine's market needs it."""
+        market = (machine.type, machine.zone)
+        chosen = sum(1 for m in self.chosen if m.spot and (m.type, m.zone) == market)
+        return self._pool.spot_machines(*market) - chosen <= self._wanted.get(market, 0)
+
+
+def scale_in(
+    pool: PoolView, plan: CapacityPlan, required: float, on_demand_only: float, now: float
+) -> None:
+    """Return idle machines that the plan does without, the most expensive first.
+
+    ``required`` and ``on_demand_only``, the part that may not be spot machines, are in units.
+    """
+    fleet = pool.fleet
+    fleet.on_demand_spare[pool.gpus] = 0.0
+    if fleet.pending_rentals:
+        return
+    if pool.gpus and any(shortage.job.spec.gpus > 0 for shortage in fleet.shortages):
+        return
+    spare = SpareCapacity(pool, plan, required, on_demand_only)
+    for machine in _idle_machines(pool):
+        if len(spare.chosen) >= cloud.MAX_DELETE:
+            break
+        if now - machine.idle_since >= _idle_limit_s(pool, machine):
+            spare.choose(machine)
+    if not spare.chosen:
+        _record_spare(pool, required, on_demand_only)
+    _return_machines(pool, spare.chosen)
+
+
+def _idle_machines(pool: PoolView) -> list[Machine]:
+    idle = [m for m in pool.machines if m.status == UP and m.idle_since and m.empty()]
+    idle.sort(key=lambda m: -pool.cluster.types[m.type].price)
+    return idle
+
+
+def _idle_limit_s(pool: PoolView, machine: Machine) -> float:
+    """How many seconds a machine may be idle before it is returned."""
+    operator = pool.fleet.operator
+    if machine.spot:
+        limit_s = operator.idle_spot_s
+    else:
+        limit_s = operator.idle_cards_s if pool.gpus else operator.idle_steady_s
+    # A machine that is rented again costs its boot: to wait idle for as long as that never
+    # costs more than twice the best decision in hindsight.
+    return max(limit_s, pool.cluster.types[machine.type].boot_s)
+
+
+def _record_spare(pool: PoolView, required: float, on_demand_only: float) -> None:
+    """Record the on-demand capacity that may be consolidated."""
+    # Bursts come back: what one needed a moment ago is not to spare.
+    peak = max((amount for _, amount in pool.fleet.recent_required[pool.gpus]), default=required)
+    needed = max(on_demand_only, peak - pool.capacity(True))
+    pool.fleet.on_demand_spare[pool.gpus] = pool.capacity(False) - needed
+
+
+def _return_machines(pool: PoolView, machines: list[Machine]) -> None:
+    """Delete machines, or let the shards do it that own them."""
+    scheduler = pool.fleet.scheduler
+    for machine in machines:
+        log.info("returning idle machine machine=%s", machine.name)
+    scheduler.delete_machines([machine for machine in machines if not machine.in_other_shard])
+    if scheduler.sharding is not None:
+        scheduler.sharding.return_machines(
+            [machine for machine in machines if machine.in_other_shard]
+        )
--- /dev/null
+++ b/appleshift/provisioning/shortages.py
@@ -0,0 +1,125 @@
+"""Renting for tasks that the capacity there is can never take."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from appleshift.contracts.interfaces import CapacityNeed
+from appleshift.placement.first_fit import Shortage
+from appleshift.placement.fit import remaining_per_zone, tasks_that_fit
+from appleshift.provisioning.pool_view import PoolView
+from appleshift.state.cluster_state import BOOTING, OPEN, UP, ClusterState
+
+
+def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
+    """What tasks that found no room need, and where it may be."""
+    job, spec = shortage.job, shortage.job.spec
+    remaining = remaining_per_zone(cluster, job)
+    zones = [
+        zone
+        for zone in range(len(cluster.zones))
+        if job.zone in (-1, zone) and (remaining is None or remaining[zone] > 0)
+    ]
+    eligible_types = cluster.eligible_types(job)
+    return CapacityNeed(
+        spec.gpus, spec.cpus, spec.memory_gb, shortage.tasks, spec.spot, eligible_types, zones
+    )
+
+
+def unplaceable_needs(pool: PoolView) -> list[CapacityNeed]:
+    """Needs of this shard that none of its machines can ever meet."""
+    cluster = pool.cluster
+    markets_up = {
+        (m.type, m.zone, m.spot) for m in pool.machines if m.status == UP and not m.in_other_shard
+    }
+    needs = []
+    for shortage in pool.fleet.shortages:
+        job = shortage.job
+        if job.status != OPEN or (job.spec.gpus > 0) != pool.gpus:
+            continue
+        need = need_of_shortage(cluster, shortage)
+        # Other tasks than replicas may wait for what is running to end.
+        if job.service or not any(_may_use(need, *market) for market in markets_up):
+            needs.append(need)
+    return needs
+
+
+def cover_shortages(pool: PoolView) -> None:
+    """Rent for needs that the capacity there is can never meet.
+
+    The required capacity says how much is needed, not where: a job bound to a zone or a
+    type, or replicas that must be spread, may find no room although there is enough in all.
+    Other tasks may wait for what is running to end; replicas cannot, for nothing that runs
+    beside them need ever end.
+    """
+    coming = _coming_machines(pool)
+    sharding = pool.fleet.scheduler.sharding
+    needs_of_others = [] if sharding is None else sharding.unplaceable_needs(pool.gpus)
+    for need in [*unplaceable_needs(pool), *needs_of_others]:
+        missing = _uncovered_tasks(pool, need, coming)
+        if missing > 0:
+            _rent_for(pool, need, missing)
+
+
+def _coming_machines(pool: PoolView) -> Counter[tuple[int, int, bool]]:
+    """Machines that boot or are being rented, by (type, zone, spot)."""
+    coming: Counter[tuple[int, int, bool]] = Counter(
+        (m.type, m.zone, m.spot)
+        for m in pool.machines
+        if m.status == BOOTING and not pool.is_boot_late(m)
+    )
+    for type_index, zone, spot, count in pool.fleet.pending_rentals.values():
+        coming[type_index, zone, spot] += count
+    return coming
+
+
+def _uncovered_tasks(
+    pool: PoolView, need: CapacityNeed, coming: Counter[tuple[int, int, bool]]
+) -> int:
+    """Reserve room for a need on machines that are coming; returns the tasks left without."""
+    missing = need.tasks
+    for market, count in coming.items():
+        if missing <= 0:
+            break
+        if count and _may_use(need, *market):
+            fit = _tasks_per_machine(pool, market[0], need)
+            used = min(count, -(-missing // max(1, fit)) * need.spread_by)
+            coming[market] -= used
+            missing -= used * fit // need.spread_by
+    return missing
+
+
+def _may_use(need: CapacityNeed, type_index: int, zone: int, spot: bool) -> bool:
+    return need.eligible_types[type_index] and zone in need.zones and need.spot >= spot
+
+
+def _tasks_per_machine(pool: PoolView, type_index: int, need: CapacityNeed) -> int:
+    """How many of a need's tasks an empty machine of a type takes."""
+    machine_type = pool.cluster.types[type_index]
+    return tasks_that_fit(machine_type.cpus, machine_type.gpus, machine_type.memory_gb, need)
+
+
+def _rent_for(pool: PoolView, need: CapacityNeed, tasks: int) -> None:
+    """Rent the cheapest machines on which these tasks may run."""
+    fleet, cluster = pool.fleet, pool.cluster
+
+    def machines(type_index: int) -> int:
+        return -(-tasks // max(1, _tasks_per_machine(pool, type_index, need)))
+
+    def price(type_index: int, spot: bool) -> float:
+        machine_type = cluster.types[type_index]
+        unit_price = machine_type.spot_price if spot else machine_type.price
+        return unit_price * machines(type_index)
+
+    offers = sorted(
+        (price(type_index, spot), type_index, zone, spot)
+        for type_index in pool.type_indices
+        if need.eligible_types[type_index]
+        for spot in ((False, True) if need.spot else (False,))
+        for zone in need.zones
+        if cluster.zones.names[zone] in cluster.types[type_index].zones
+        and fleet.may_rent(type_index, zone, spot)
+    )
+    if offers:
+        _, type_index, zone, spot = offers[0]
+        fleet.rent(type_index, zone, spot, machines(type_index) * need.spread_by)
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -21,7 +21,8 @@
     ShardSummary,
     UnmetNeed,
 )
-from appleshift.provisioning.pool import CapacityPool, need_of_shortage
+from appleshift.provisioning.pool import CapacityPool
+from appleshift.provisioning.shortages import need_of_shortage
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.state.cluster_state import UP as MACHINE_UP
