--- /dev/null
+++ b/appleshift/dispatch/cloud_calls.py
@@ -0,0 +1,222 @@
+"""Calls to the cloud: rentals, deletions, listings and machine types, within its rate."""
+
+from __future__ import annotations
+
+import logging
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from appleshift.contracts import events
+from appleshift.contracts.actions import DeleteMachines, RentMachines
+from appleshift.protocol import cloud
+from appleshift.protocol.wire import ProtocolError, decode, encode
+from appleshift.transport.client import ClientError, HttpCaller
+from appleshift.transport.concurrency import RateLimiter, Runtime, ThreadPool
+
+log = logging.getLogger(__name__)
+
+CALL_TIMEOUT_S = 3.0
+CALL_THREADS = 3
+RATE_SHARE = 0.9
+"""Share of the cloud's permitted rate that is used."""
+LIST_RATE_SHARE = 0.25
+"""Share of the cloud's permitted rate that listings may take, page by page."""
+LISTS_PER_LAG = 3
+"""Listings in the time by which they lag: more often shows nothing new."""
+RENTAL_ATTEMPTS = 5
+RENTAL_RETRY_S = 0.5
+"""Added to the pause before each further attempt, in seconds."""
+TYPES_INTERVAL_S = 20.0
+"""Between requests for machine types and prices, in seconds."""
+FOLLOWER_WAIT_S = 1.0
+"""How often a node that doesn't lead looks whether it does, in seconds."""
+
+
+@dataclass(frozen=True, slots=True)
+class RentalOutcome:
+    """What became of a rental for good."""
+
+    names: list[str] | None = None
+    """Machines that were rented; None: unknown, so machines may still appear."""
+    refused: bool = False
+
+
+class CloudCalls:
+    """The cloud's calls: rentals and deletions come before listings.
+
+    Results are posted as events of the term that asked for them.
+    """
+
+    def __init__(
+        self,
+        post: Callable[[events.Event], None],
+        client: HttpCaller,
+        runtime: Runtime,
+        rps: float,
+        list_lag_s: float,
+    ) -> None:
+        """``rps``: calls a second that the cloud permits; listings lag by ``list_lag_s``."""
+        self._post = post
+        self._client = client
+        self._runtime = runtime
+        self._rate_limiter = RateLimiter(runtime, max(1.0, rps * RATE_SHARE))
+        self._pool = ThreadPool(runtime, "cloud-call", CALL_THREADS)
+        self._page_interval_s = 1.0 / LIST_RATE_SHARE / rps
+        self._list_interval_s = max(1.0, list_lag_s / LISTS_PER_LAG)
+        self._stop = runtime.event()
+        self._wake = runtime.event()
+        self._term: Any = None
+
+    def start(self) -> None:
+        """Start to poll the cloud's listing."""
+        self._runtime.spawn("cloud-list", self._poll)
+
+    def set_term(self, term: Any) -> None:
+        """Poll the cloud for this term; None: this node no longer leads."""
+        self._term = term
+        self._wake.set()
+
+    def stop(self) -> None:
+        """Stop polling and the pool."""
+        self._stop.set()
+        self._wake.set()
+        self._pool.stop()
+
+    def rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+        """Rent machines; ``events.RentalAnswered`` follows.
+
+        ``entitled`` is asked again right before the call: it may have waited for the rate
+        limit until the term was over.
+        """
+        self._pool.submit(self._rent, action, term, entitled)
+
+    def delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+        """Delete machines, if still ``entitled``; ``events.DeletionAnswered`` follows."""
+        self._pool.submit(self._delete, action, term, entitled)
+
+    def machine_types(self) -> list[cloud.MachineType]:
+        """Ask what can be rented; blocks.
+
+        Raises ClientError or ProtocolError if the cloud gives no valid answer.
+        """
+        status, body = self._get("/machine_types")
+        if status != 200:
+            raise ClientError(f"machine types: {status}")
+        return cloud.decode_types(body)
+
+    def _get(self, path: str) -> tuple[int, bytes]:
+        self._rate_limiter.acquire()
+        return self._client.request("GET", path, None, CALL_TIMEOUT_S)
+
+    # -- rentals and deletions ----------------------------------------------------------
+
+    def _rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+        outcome: RentalOutcome | None = None
+        body = encode(
+            cloud.rent_body(action.request, action.type, action.zone, action.spot, action.count)
+        )
+        for attempt in range(RENTAL_ATTEMPTS):
+            if self._stop.wait(RENTAL_RETRY_S * attempt) or not entitled():
+                break
+            try:
+                outcome = self._try_rent(action, body, entitled)
+            except (ClientError, ProtocolError) as error:
+                log.info("rental failed request=%s error=%s", action.request, error)
+            if outcome is not None:
+                break
+        outcome = outcome or RentalOutcome()
+        self._post(events.RentalAnswered(term, action.request, outcome.names, outcome.refused))
+
+    def _try_rent(
+        self, action: RentMachines, body: bytes, entitled: Callable[[], bool]
+    ) -> RentalOutcome | None:
+        """One attempt, which may be repeated with the same request id; None: try again."""
+        self._rate_limiter.acquire()
+        if not entitled():
+            return RentalOutcome()
+        status, response = self._client.request("POST", "/machines", body, CALL_TIMEOUT_S)
+        if status == 200:
+            return RentalOutcome(names=cloud.decode_rented(response))
+        if status == 503 and _is_out_of_capacity(response):
+            return RentalOutcome(refused=True)
+        if status == 400:
+            log.error("rental rejected as malformed rental=%s", action)
+            return RentalOutcome(refused=True)
+        return None
+
+    def _delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+        deleted = False
+        try:
+            self._rate_limiter.acquire()
+            if entitled():
+                body = encode(cloud.delete_body([*action.machines]))
+                status, _ = self._client.request("POST", "/machines/delete", body, CALL_TIMEOUT_S)
+                deleted = status == 200
+        except ClientError as error:
+            log.info("deletion failed machines=%d error=%s", len(action.machines), error)
+        self._post(events.DeletionAnswered(term, action.machines, deleted))
+
+    # -- listings -----------------------------------------------------------------------
+
+    def _poll(self) -> None:
+        types_at = -math.inf
+        polled_term: Any = None
+        while not self._stop.is_set():
+            term = self._term
+            if term is None:
+                self._wake.wait(FOLLOWER_WAIT_S)
+                self._wake.clear()
+                continue
+            if term is not polled_term:
+                polled_term, types_at = term, -math.inf
+            pages = 1
+            try:
+                types_due = self._runtime.now() - types_at > TYPES_INTERVAL_S
+                if types_due and self._list_machine_types(term):
+                    types_at = self._runtime.now()
+                pages = self._list_machines(term)
+            except (ClientError, ProtocolError) as error:
+                log.info("cloud listing failed error=%s", error)
+            self._stop.wait(max(self._list_interval_s, pages * self._page_interval_s))
+
+    def _list_machine_types(self, term: Any) -> bool:
+        """Post the machine types; false if the cloud doesn't give them."""
+        status, body = self._get("/machine_types")
+        if status != 200:
+            return False
+        self._post(events.MachineTypesListed(term, cloud.decode_types(body)))
+        return True
+
+    def _list_machines(self, term: Any) -> int:
+        """Read and post the whole listing; returns how many pages it took."""
+        rows: list[cloud.ListedMachine] = []
+        pages, complete = 0, True
+        after = ""
+        while True:
+            status, body = self._get(cloud.list_path(after))
+            pages += 1
+            if status != 200:
+                return pages
+            page = cloud.decode_list(body)
+            rows += page.machines
+            complete = complete and page.whole
+            if not page.more:
+                break
+            if not page.machines:
+                # Without a last name there is no next page to ask for: the rest stays unread.
+                complete = False
+                break
+            after = page.machines[-1].name
+        self._post(events.MachinesListed(term, rows, complete))
+        return pages
+
+
+def _is_out_of_capacity(response: bytes) -> bool:
+    """Whether a 503 says that the market has no machines, rather than that the cloud is busy."""
+    try:
+        body = decode(response)
+    except ProtocolError:
+        return False
+    return isinstance(body, dict) and "capacity" in str(body.get("error", ""))
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -15,7 +15,8 @@
 from appleshift.connectivity.hand_over import ConnectivityMonitor
 from appleshift.connectivity.monitor import SAMPLE_SIZE
 from appleshift.contracts import events
-from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
+from appleshift.dispatch.cloud_calls import CloudCalls
+from appleshift.dispatch.worker_calls import WorkerCalls
 from appleshift.heartbeat_ingest import relay_assignment
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -18,7 +18,8 @@
     SendCommands,
 )
 from appleshift.contracts.interfaces import ShardingView
-from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
+from appleshift.dispatch.cloud_calls import CloudCalls
+from appleshift.dispatch.worker_calls import WorkerCalls
 from appleshift.leader_election.election import LeaderElection, LeaderTerm
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.log_committer import LogCommitter
