--- a/appleshift/machines/__init__.py
+++ b/appleshift/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The machines of a shard: adoption, liveness, health and return."""
+"""The machines of a shard: adoption, liveness, health, rentals and deletion."""
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -1,73 +1,94 @@
-"""Which machines to trust: silent ones, whole zones cut off, faulty and slow ones.
+"""Which machines to trust: silent ones, unreachable zones, faulty and slow machines.
 
-Silence has several causes that call for different answers. A machine that
-died is replaced at once. If a whole zone falls silent, it is cut off: its
-machines most likely still stand, and nothing rented there could be heard. If
-every zone is silent, it is this node that is cut off, and leases decide.
+Silence has several causes that call for different answers. A machine that died is replaced
+at once. If a whole zone falls silent, it is unreachable: its machines most likely still
+stand, and nothing rented there could be heard. If every zone is silent, it is this node
+that is isolated, and leases decide.
 """
 
 from __future__ import annotations
 
-import logging
+from dataclasses import dataclass
 
 from appleshift.contracts.actions import ProbeMachine
 from appleshift.contracts.interfaces import FleetView
+from appleshift.machines.fault_detection import FaultDetector
+from appleshift.machines.unreachable_zones import UnreachableZones
 from appleshift.placement.fit import remaining_per_zone
 from appleshift.state.cluster_state import EXITED, UP, Job, Machine
 
-log = logging.getLogger(__name__)
-
-ERROR_WINDOW_S = 120.0
-MAX_BACKOFF_S = 20.0
-AVOID_S = 20.0
-PAUSE_S = 3.0
-SLOW_PEERS = 3
-SLOW_TASKS = 6
-SLOW_WEIGHT = 0.2
-SLOW_RATIO = 2.0
+PROBE_AFTER_INTERVALS = 1.4
+"""Heartbeats are a quarter late at most: a machine that misses one is probed at once."""
+MIN_SILENT_INTERVALS = 2.2
+"""Two intervals must have passed without a heartbeat before a machine counts as lost."""
+NEW_LEADER_PROBE_S = 2.0
+"""A new leader probes machines that it has not heard yet after so many seconds at most."""
+MAX_PROBES = 40
+"""Probes in one check of all machines."""
 MIN_MACHINES_FOR_UNREACHABLE = 3
-"""So few machines of a zone may well fall silent by themselves."""
-UNREACHABLE_SILENT_SHARE = 8
-"""So many unanswered probes are evidence enough about a silent zone."""
-NEW_LEADER_S = 2.0
-MAX_INSPECTIONS = 40
-"""So many machines are asked in one look at the fleet."""
-CONFIRMED_SILENT_S = 1.0
-CONFIRMED_LOST_S = 5.0
+"""Fewer machines of a zone may well fall silent independently of each other."""
+MAX_SILENT_FOR_UNREACHABLE = 8
+"""So many machines with unanswered probes are evidence enough of an unreachable zone:
+probing all of a large one would take seconds."""
 UNREACHABLE_PROBES = 4
-"""Machines of a dark zone that are asked directly whether it is back."""
-UNREACHABLE_PATIENCE_S = 180.0
-"""Longer than this, machines that cannot be heard are not paid for, and a zone
-of which nothing is left to be heard is tried again."""
+"""Machines of an unreachable zone that are probed in a check to find out if it is back."""
+LOST_PROBES = 2
+"""Unanswered probes after which a silent machine is lost."""
+LOST_PROBES_NEW_LEADER = 3
+"""The same for a machine that this leader never heard: after a failover workers take a
+while to find the new leader. A probe doesn't depend on that, so one more will do."""
+
+
+@dataclass(frozen=True, slots=True)
+class SilentMachines:
+    """The result of one look at all machines that are up."""
+
+    up: dict[int, int]
+    """Machines that are up, by zone."""
+    by_zone: dict[int, list[Machine]]
+    """Those of them that are silent."""
 
-UNREACHABLE_RETRY_S = 10.0
-"""After so long a zone that is cut off, and of which nothing is left, is tried."""
+    def is_majority(self, zone: int) -> bool:
+        """Whether more than half of a zone's machines are silent."""
+        return len(self.by_zone[zone]) * 2 > self.up[zone]
 
 
 class MachineHealth:
-    """Part of the fleet: looks at every machine a few times a second."""
+    """Checks every machine a few times a second."""
 
     def __init__(self, fleet: FleetView) -> None:
+        """Check the machines of ``fleet`` from now on."""
         self._fleet = fleet
         self._scheduler = fleet.scheduler
         self._cluster = fleet.cluster
         self._started = fleet.scheduler.now
-        # Zones that are cut off, and since when.
-        self.unreachable_zones: dict[int, float] = {}
-        # Since when zones that were cut off are back.
-        self._reachable_again_at: dict[int, float] = {}
+        self._faults = FaultDetector(fleet.scheduler)
+        self._zones = UnreachableZones(fleet.scheduler)
+        self.unreachable_zones = self._zones.since
+
+    # -- silent machines and zones ------------------------------------------------------
 
     def check(self, now: float) -> None:
+        """Probe silent machines, find unreachable zones and delete lost machines."""
+        silent = self._find_silent(now)
+        silent_zones = self._silent_zones(silent)
+        # Nobody answers anywhere: this node is isolated. One zone alone proves nothing.
+        isolated = bool(silent_zones) and silent_zones.issuperset(silent.up)
+        unconfirmed = self._zones.unconfirmed(silent.up, now)
+        self._zones.update(set() if isolated else silent_zones | unconfirmed, now, isolated)
+        probes_left = MAX_PROBES
+        for zone, machines in silent.by_zone.items():
+            suspected = len(machines) >= MIN_MACHINES_FOR_UNREACHABLE and silent.is_majority(zone)
+            may_be_lost = not isolated and (not suspected or self._zones.is_confirmed(zone, now))
+            probes_left -= self._delete_or_probe(zone, machines, may_be_lost, probes_left, now)
+
+    def _find_silent(self, now: float) -> SilentMachines:
         report_s = self._scheduler.settings.deployment.workers.report_s
-        # Reports are a quarter late at most: one that is missing is probed for
-        # at once, and two intervals without any must have passed.
-        probe_s = report_s * 1.4
-        # A new leader asks those that have not found it yet, not all at once.
-        new_s = min(probe_s, NEW_LEADER_S)
-        inspections = MAX_INSPECTIONS
-        silent_s = max(self._scheduler.operator.silent_s, 2.2 * report_s)
-        silent: dict[int, list[Machine]] = {}
+        probe_s = report_s * PROBE_AFTER_INTERVALS
+        # A new leader probes those that have not found it yet, not all at once.
+        new_s = min(probe_s, NEW_LEADER_PROBE_S)
         up: dict[int, int] = {}
+        silent: dict[int, list[Machine]] = {}
         for machine in self._cluster.machines.values():
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
@@ -75,189 +96,139 @@
             if now - machine.last_heard <= new_s and not machine.commands_lost_since:
                 # Nearly all of them, several times a second.
                 continue
-            known = machine.last_heard >= self._started
-            if self._silent_for_s(machine, now) > (probe_s if known else new_s):
+            heard_this_term = machine.last_heard >= self._started
+            if self._silent_for_s(machine, now) > (probe_s if heard_this_term else new_s):
                 silent.setdefault(machine.zone, []).append(machine)
-        # Silence alone is no evidence: after a takeover workers take a while to
-        # find the leader, but they answer when asked.
-        quiet_zones = set()
-        suspect = set()
-        for zone, machines in silent.items():
-            if len(machines) >= MIN_MACHINES_FOR_UNREACHABLE and len(machines) * 2 > up[zone]:
-                suspect.add(zone)
-            mute = sum(1 for machine in machines if machine.unanswered_probes > 0)
-            least = 1 if zone in self.unreachable_zones else MIN_MACHINES_FOR_UNREACHABLE
-            # Probing all of a large zone would take seconds: some are enough.
-            asked = min(UNREACHABLE_SILENT_SHARE, len(machines) // 2 + 1)
-            if len(machines) * 2 > up[zone] and mute >= max(least, asked):
-                quiet_zones.add(zone)
-        # Nobody answers anywhere: it is ourselves. One zone alone proves nothing.
-        ourselves = bool(quiet_zones) and quiet_zones.issuperset(up)
-        # Having deleted what was silent proves nothing: a zone is back when
-        # most of its machines are heard. Once 124 were rented too early.
-        unheard = {
-            zone
-            for zone, since in self.unreachable_zones.items()
-            if zone not in up and now - since <= UNREACHABLE_PATIENCE_S
-        }
-        self._mark_unreachable(set() if ourselves else quiet_zones | unheard, now, not ourselves)
-        for zone, machines in silent.items():
-            probes = UNREACHABLE_PROBES if zone in self.unreachable_zones else len(machines)
-            for machine in machines:
-                quiet = self._silent_for_s(machine, now)
-                # Zones fall silent one after the other even if it is ourselves.
-                sure = (
-                    zone not in suspect
-                    or now - self.unreachable_zones.get(zone, now) > CONFIRMED_SILENT_S
-                )
-                if sure and not ourselves and self._is_lost(machine, quiet, silent_s, now):
-                    self._fleet.evict_group(machine)
-                    self._fleet.delete(machine, f"silent for {quiet:.1f} s")
-                elif (
-                    machine.addr
-                    and not machine.probe_in_flight
-                    and inspections > 0
-                    and (probes > 0 or runs_replicas(machine))
-                ):
-                    probes -= 1
-                    inspections -= 1
-                    machine.probe_in_flight = True
-                    self._scheduler.actions.append(ProbeMachine(machine.name, machine.addr))
+        return SilentMachines(up, silent)
 
-    def _silent_for_s(self, machine: Machine, now: float) -> float:
-        """For how long a machine could have been heard, or shown that it hears, and did not."""
-        sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
-        since = max(sign, self._started, self._reachable_again_at.get(machine.zone, 0.0))
-        return now - since
+    def _silent_zones(self, silent: SilentMachines) -> set[int]:
+        """Zones of which most machines are silent and enough left probes unanswered.
 
-    def is_trusted(self, zone: int) -> bool:
-        """Is a zone's capacity there? A zone may seem dark for a moment after a
-        takeover; what it holds is not rented anew for that."""
-        return (
-            self._scheduler.now - self.unreachable_zones.get(zone, self._scheduler.now)
-            <= CONFIRMED_LOST_S
-        )
+        Silence alone is no evidence: after a failover workers take a while to find the
+        leader, but they answer probes.
+        """
+        zones = set()
+        for zone, machines in silent.by_zone.items():
+            unanswered = sum(1 for machine in machines if machine.unanswered_probes > 0)
+            least = 1 if zone in self.unreachable_zones else MIN_MACHINES_FOR_UNREACHABLE
+            enough = min(MAX_SILENT_FOR_UNREACHABLE, len(machines) // 2 + 1)
+            if silent.is_majority(zone) and unanswered >= max(least, enough):
+                zones.add(zone)
+        return zones
+
+    def _delete_or_probe(
+        self, zone: int, machines: list[Machine], may_be_lost: bool, max_probes: int, now: float
+    ) -> int:
+        """Delete a zone's silent machines that are lost and probe others; returns the probes.
+
+        Machines that run replicas are probed even beyond the few that show whether an
+        unreachable zone is back.
+        """
+        report_s = self._scheduler.settings.deployment.workers.report_s
+        silent_s = max(self._scheduler.operator.silent_s, MIN_SILENT_INTERVALS * report_s)
+        zone_probes = UNREACHABLE_PROBES if zone in self.unreachable_zones else len(machines)
+        sent = 0
+        for machine in machines:
+            machine_silent_s = self._silent_for_s(machine, now)
+            if may_be_lost and self._is_lost(machine, machine_silent_s, silent_s, now):
+                self._fleet.evict_group(machine)
+                self._fleet.delete(machine, f"silent for {machine_silent_s:.1f} s")
+            elif (
+                machine.addr
+                and not machine.probe_in_flight
+                and sent < max_probes
+                and (sent < zone_probes or runs_replicas(machine))
+            ):
+                sent += 1
+                machine.probe_in_flight = True
+                self._scheduler.actions.append(ProbeMachine(machine.name, machine.addr))
+        return sent
 
-    def may_try_unreachable(self, zone: int) -> bool:
-        """May a single machine be rented in a zone that is cut off, to find out?
+    def _silent_for_s(self, machine: Machine, now: float) -> float:
+        """For how many seconds a machine neither sent heartbeats nor answered commands.
 
-        If all that was heard of a zone was deleted or has died, nothing can ever be heard of
-        it again. Jobs that are bound to it once waited three minutes for that reason alone.
+        Only the time counts in which it could have been heard.
         """
-        since = self.unreachable_zones.get(zone)
-        if since is None or self._scheduler.now - since < UNREACHABLE_RETRY_S:
-            return False
-        machines = self._cluster.machines.values()
-        return not any(each.zone == zone and not each.deletion_requested for each in machines)
-
-    def _mark_unreachable(self, zones: set[int], now: float, heard: bool) -> None:
-        for zone in zones - self.unreachable_zones.keys():
-            log.info("zone %s is cut off", self._cluster.zones.names[zone])
-            self.unreachable_zones[zone] = now
-        for zone in self.unreachable_zones.keys() - zones:
-            log.info("zone %s is back", self._cluster.zones.names[zone])
-            del self.unreachable_zones[zone]
-            self._scheduler.placement_needed = True
-            # Most of it is heard; the rest gets its time to be, as after a
-            # takeover. Once 41 machines were deleted in the second in which a
-            # zone came back, for what they had not answered while it was dark.
-            if not heard:
-                continue
-            self._reachable_again_at[zone] = now
-            for machine in self._cluster.machines.values():
-                if machine.zone == zone:
-                    machine.unanswered_probes = 0
-
-    def _is_lost(self, machine: Machine, quiet: float, silent_s: float, now: float) -> bool:
-        """Is its deletion, which proves its tasks gone, better than waiting?"""
-        if machine.zone in self.unreachable_zones and not runs_replicas(machine):
-            # Its tasks are free when its lease is over, and the machine is
-            # there, images and all, once the zone is back.
-            return (
-                now - self.unreachable_zones[machine.zone] > UNREACHABLE_PATIENCE_S
-                and machine.empty()
-            )
-        # After a takeover workers take a while to find the new leader; a
-        # probe does not depend on that, so one more of them will do.
-        probes = 2 if machine.last_heard >= self._started else 3
+        last_sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
+        since = max(last_sign, self._started, self._zones.reachable_again_at(machine.zone))
+        return now - since
+
+    def _is_lost(
+        self, machine: Machine, machine_silent_s: float, silent_s: float, now: float
+    ) -> bool:
+        """Whether to delete a silent machine, which proves its tasks gone, rather than wait."""
         if machine.zone in self.unreachable_zones:
-            # Its whole zone is as silent as it is.
-            return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
-        if quiet > silent_s and machine.unanswered_probes >= probes:
+            if runs_replicas(machine):
+                # Its whole zone is as silent as it is.
+                return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
+            # Its tasks are free when its lease expires, and the machine is there, images
+            # and all, once the zone is back.
+            return self._zones.is_past_patience(machine.zone, now) and machine.empty()
+        heard_this_term = machine.last_heard >= self._started
+        probes = LOST_PROBES if heard_this_term else LOST_PROBES_NEW_LEADER
+        if machine_silent_s > silent_s and machine.unanswered_probes >= probes:
             return True
-        return quiet > self._scheduler.worker_lease_s + silent_s and machine.empty()
+        return machine_silent_s > self._scheduler.worker_lease_s + silent_s and machine.empty()
 
     def _frees_more_than_it_costs(self, machine: Machine) -> bool:
-        """Replicas that may start elsewhere gain a lease's time by a deletion; those
-        that may not lose a boot's time once the zone is back.
+        """Whether deleting a machine helps more of its replicas than it harms.
 
-        With two zones and replicas spread over them, 91 machines were once
-        deleted in a cut of 40 s though none of theirs could start in the other.
+        Replicas that may start in other zones gain a lease's time by a deletion; those that
+        may not lose a boot's time once the zone is back. With two zones and replicas spread
+        over them, 91 machines were once deleted in a partition of 40 s though none of their
+        replicas could start in the other zone.
         """
         movable = stuck = 0.0
         for run in machine.runs.values():
             if run.job.service and run.state != EXITED:
-                share = self._movable(run.job, machine.zone)
-                movable += share
-                stuck += 1.0 - share
+                fraction = self._movable_fraction(run.job, machine.zone)
+                movable += fraction
+                stuck += 1.0 - fraction
         return movable > stuck
 
-    def _movable(self, job: Job, zone: int) -> float:
-        """The share of a job's replicas in a zone that may start in others."""
+    def _movable_fraction(self, job: Job, zone: int) -> float:
+        """The fraction of a job's replicas in a zone that may start in others."""
         if job.zone == zone:
             return 0.0
-        rooms = remaining_per_zone(self._cluster, job)
-        if rooms is None:
+        remaining = remaining_per_zone(self._cluster, job)
+        if remaining is None:
             return 1.0
-        here = sum(run.machine.zone == zone for run in job.runs.values())
-        room = sum(
-            max(0, left)
-            for other, left in rooms.items()
+        replicas = sum(run.machine.zone == zone for run in job.runs.values())
+        room_elsewhere = sum(
+            max(0, room)
+            for other, room in remaining.items()
             if other != zone and other not in self.unreachable_zones
         )
-        return min(1.0, room / max(1, here))
+        return min(1.0, room_elsewhere / max(1, replicas))
 
     def probed(self, name: str, answered: bool) -> None:
+        """Count the result of a probe."""
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
             self._scheduler.liveness.command_result(machine, answered)
 
+    # -- zones --------------------------------------------------------------------------
+
+    def is_trusted(self, zone: int) -> bool:
+        """Whether a zone's capacity counts; see ``UnreachableZones.is_trusted``."""
+        return self._zones.is_trusted(zone)
+
+    def may_try_unreachable(self, zone: int) -> bool:
+        """Whether one machine may be rented in an unreachable zone, to find out if it is back."""
+        return self._zones.may_try(zone)
+
+    # -- faulty and slow machines -------------------------------------------------------
+
     def task_failed(self, machine: Machine, job: Job) -> None:
-        """Tell a faulty machine from a faulty job by who else failed where."""
-        now = self._scheduler.now
-        job.failed_machines.add(machine.index)
-        job.avoided_machines[machine.index] = now + AVOID_S
-        machine.avoid_until = now + PAUSE_S
-        if len(job.failed_machines) >= 2 and not job.done_count:
-            # It failed on several machines: the job is to blame, not they.
-            job.backoff_s = min(MAX_BACKOFF_S, max(1.0, job.backoff_s * 2))
-            job.not_before = now + job.backoff_s
-            for other in self._cluster.machines.values():
-                other.job_errors.pop(job.index, None)
-            return
-        machine.job_errors[job.index] = now
-        recent = [at for at in machine.job_errors.values() if at > now - ERROR_WINDOW_S]
-        if len(recent) >= self._scheduler.operator.sick_jobs and not machine.quarantined:
-            log.info("machine %s fails tasks of several jobs: set aside", machine.name)
-            machine.quarantined = True
-            self._scheduler.placement_needed = True
+        """Count a failed task against its machine or its job."""
+        self._faults.task_failed(machine, job)
 
     def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
-        """Tell a slow machine from long work: by the same job's tasks elsewhere."""
-        if job.completed_runs >= SLOW_PEERS and not machine.quarantined:
-            ratio = min(10.0, seconds * job.completed_runs / max(job.completed_run_s, 1e-3))
-            machine.slowness += (ratio - machine.slowness) * SLOW_WEIGHT
-            machine.slow_count += 1
-            if machine.slow_count >= SLOW_TASKS and machine.slowness > SLOW_RATIO:
-                log.info("machine %s is %.1f times slower", machine.name, machine.slowness)
-                machine.quarantined = True
-                self._scheduler.placement_needed = True
-                return
-        job.completed_run_s += seconds
-        job.completed_runs += 1
+        """Compare the duration of a completed task with those of the same job elsewhere."""
+        self._faults.task_ran(machine, job, seconds)
 
 
 def runs_replicas(machine: Machine) -> bool:
-    """Replicas on it are missed from the first second on."""
+    """Whether a machine runs service replicas, which users miss from the first second on."""
     return any(run.job.service and run.state != EXITED for run in machine.runs.values())
--- /dev/null
+++ b/appleshift/machines/shard_ownership.py
@@ -0,0 +1,22 @@
+"""Which shard owns a machine, and whether this one may delete it."""
+
+from __future__ import annotations
+
+from appleshift.contracts.interfaces import SchedulerView
+from appleshift.state.cluster_state import BOOTING, Machine
+
+
+def mark_shard(scheduler: SchedulerView, machine: Machine) -> None:
+    """Set ``machine.in_other_shard`` from the shard map and the machines handed off."""
+    sharding = scheduler.sharding
+    if sharding is None:
+        return
+    cluster = scheduler.cluster
+    type_name = cluster.type_names.names[machine.type]
+    handed_off = machine.name in cluster.handed_off
+    machine.in_other_shard = handed_off or not sharding.owns_machine(machine.name, type_name)
+
+
+def may_delete(machine: Machine) -> bool:
+    """Whether this shard may delete a machine: once up, only the shard that owns it may."""
+    return not machine.in_other_shard or machine.status == BOOTING
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -21,7 +21,8 @@
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.peer_monitor import PeerMonitor
-from appleshift.node_limits.node_limits import POOL_THREADS, LoadMonitor, NodeLimits
+from appleshift.node_limits.load_monitor import LoadMonitor
+from appleshift.node_limits.node_limits import POOL_THREADS, NodeLimits
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
--- a/appleshift/node_limits/__init__.py
+++ b/appleshift/node_limits/__init__.py
@@ -1,1 +1,1 @@
-"""What one node takes on at once, and how its duties share its processor."""
+"""How much a node accepts at once, and how its tasks share its processor."""
--- /dev/null
+++ b/appleshift/node_limits/load_monitor.py
@@ -0,0 +1,69 @@
+"""Logs how busy a node is, and whether it is short of processor time or memory."""
+
+from __future__ import annotations
+
+import logging
+import resource
+import threading
+
+from appleshift.node_limits.node_limits import NodeLimits
+from appleshift.protocol.settings import MachineLimits
+
+log = logging.getLogger(__name__)
+
+LOG_INTERVAL_S = 30.0
+OVERLOAD_SHARE = 0.85
+"""Share of its time or memory above which a node warns that it is short of it."""
+
+
+class LoadMonitor:
+    """Logs a node's load twice a minute at most.
+
+    A node is busy while its scheduler handles a round: on a small share of a core the same
+    work takes longer. (The processor time that the system counts says little if the share is
+    enforced from outside.)
+    """
+
+    def __init__(self, limits: MachineLimits, capacity: NodeLimits, now: float) -> None:
+        """``limits`` are the node's resources, ``capacity`` the bounds that follow from them."""
+        self._limits = limits
+        self._capacity = capacity
+        self._logged_at = now
+        self._busy_s = 0.0
+        self._max_handled = 0
+
+    def round_finished(self, began: float, now: float, handled: int, connections: int) -> None:
+        """Count one round of the scheduler, which handled so many events."""
+        self._busy_s += now - began
+        self._max_handled = max(self._max_handled, handled)
+        if now - self._logged_at < LOG_INTERVAL_S:
+            return
+        memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
+        self.log_load(self._busy_s / (now - self._logged_at), memory_mb, connections)
+        self._logged_at, self._busy_s, self._max_handled = now, 0.0, 0
+
+    def log_load(self, busy: float, memory_mb: float, connections: int) -> None:
+        """Log the load; ``busy`` is the share of the time between 0 and 1."""
+        limits, capacity = self._limits, self._capacity
+        log.info(
+            "node load busy_percent=%.0f memory_mb=%.0f memory_limit_mb=%.0f connections=%d"
+            " max_connections=%d requests_at_once=%d max_requests_at_once=%d threads=%d",
+            busy * 100,
+            memory_mb,
+            limits.memory_mb,
+            connections,
+            capacity.connections,
+            self._max_handled,
+            capacity.max_queued,
+            threading.active_count(),
+        )
+        if busy > OVERLOAD_SHARE or self._max_handled > capacity.max_queued:
+            log.warning(
+                "short of processor busy_percent=%.0f requests_at_once=%d",
+                busy * 100,
+                self._max_handled,
+            )
+        if memory_mb > OVERLOAD_SHARE * limits.memory_mb:
+            log.warning(
+                "short of memory memory_mb=%.0f memory_limit_mb=%.0f", memory_mb, limits.memory_mb
+            )
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -18,7 +18,7 @@
 from appleshift.heartbeat_ingest.fast_path import FastPath
 from appleshift.machines.fleet import Fleet
 from appleshift.machines.liveness import MachineLiveness
-from appleshift.node_limits.node_limits import TimeBudget
+from appleshift.node_limits.time_budget import TimeBudget
 from appleshift.objectives.objectives import Objectives
 from appleshift.placement.counted_resources import CountedResources
 from appleshift.placement.first_fit import FirstFitPlacer
--- a/days/reading.py
+++ b/days/reading.py
@@ -13,7 +13,7 @@
 LINE = re.compile(r"^\s*(\d+\.\d+) (\S+) (.*)$")
 TAKEN = re.compile(r"first submission of this term is durable")
 LED = re.compile(r"leading with token (\d+)")
-THREADS = re.compile(r"load: .* (\d+) threads")
+THREADS = re.compile(r"node load .* threads=(\d+)")
 CRASHES = re.compile(r"^(\S+) crashes$")
 FIGURE = re.compile(r"^(\S+)\s+\d+\s+(\d\.\d+)\s+\d+/\d+")
 
