--- a/appleshift/machines/rentals.py
+++ b/appleshift/machines/rentals.py
@@ -35,9 +35,9 @@
         self._backoffs: dict[tuple[int, int, bool], tuple[float, float]] = {}
         """(type, zone, spot) -> when to ask again after a refusal, and the pause in seconds."""
         # Each machine sends heartbeats on a connection of its own. One that finds no
-        # free connection is paid for and never heard: triple the usual load once rented
-        # 8,677 machines for the 1,830 that could connect, gave up those that were not
-        # heard, and rented others in their stead.
+        # free connection is paid for and never heard: a deployment of three times the size
+        # once rented 8,677 machines for the 1,830 that could connect, gave up those that were
+        # not heard, and rented others in their stead.
         self.max_machines = NodeLimits.from_machine_limits(
             scheduler.settings.deployment.machine_limits
         ).machines
