--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -15,12 +15,14 @@
 from appleshift.connectivity.hand_over import ConnectivityMonitor
 from appleshift.connectivity.monitor import SAMPLE_SIZE
 from appleshift.contracts import events
-from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
+from appleshift.dispatch.cloud_calls import CloudCalls
+from appleshift.dispatch.worker_calls import WorkerCalls
 from appleshift.heartbeat_ingest import relay_assignment
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.peer_monitor import PeerMonitor
-from appleshift.node_limits.node_limits import POOL_THREADS, LoadMonitor, NodeLimits
+from appleshift.node_limits.load_monitor import LoadMonitor
+from appleshift.node_limits.node_limits import POOL_THREADS, NodeLimits
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
