--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -1,25 +1,29 @@
-"""Sends users' requests on to the node that holds the share they are about."""
+"""Forwards users' requests to the node that leads the shard they are about."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-from appleshift.api.context import ApiContext, ShardReplicaView, unavailable
+from appleshift.api.context import ApiContext
 from appleshift.api.freshness import ResponseFreshness
-from appleshift.transport.client import ClientError
+from appleshift.api.responses import unavailable
+from appleshift.api.views import ShardReplicaView
+from appleshift.transport.client import ClientError, HttpCaller
 from appleshift.transport.server import Request, Response
 
 log = logging.getLogger(__name__)
 
-FORWARD_S = 1.8
-"""How long a sibling may take to answer what was sent on to it."""
-HOLD_S = 0.4
+FORWARD_TIMEOUT_S = 1.8
+"""How long a peer may take to answer a forwarded request."""
+ELECTION_WAIT_S = 0.4
 """How long a query waits for an election to end."""
+ELECTION_POLL_S = 0.05
+"""How often a waiting query looks for a new leader."""
 
 
 class Forwarder:
-    """``route`` answers a request here, as if a sibling had sent it."""
+    """Forwards requests of one node to the leaders of its shards."""
 
     def __init__(
         self,
@@ -27,36 +31,42 @@
         freshness: ResponseFreshness,
         route: Callable[[Request], Response],
     ) -> None:
+        """``route`` answers a request at this node, as if a peer had forwarded it."""
         self._context = context
         self._freshness = freshness
         self._route = route
 
     def forward(
-        self, replica: ShardReplicaView, request: Request, forwarded: bool, hold: bool
+        self, replica: ShardReplicaView, request: Request, forwarded: bool, wait_for_election: bool
     ) -> Response:
-        """Only a share's holder answers users, so that nobody gets an older answer."""
+        """The shard leader's response; 503 without a leader or a response in time.
+
+        Only the leader of a shard answers users, so that nobody gets an older response.
+        """
         if forwarded:
-            # The sender's idea of the leader is out of date; it asks again.
+            # The sender's view of the leader is out of date; its client retries.
             return unavailable()
         context = self._context
-        until = context.runtime.now() + HOLD_S
+        deadline = context.runtime.now() + ELECTION_WAIT_S
         while True:
             leader = replica.election.current_leader()
-            if leader == replica.election.name and context.entitled(replica):
+            if leader == replica.election.name and context.is_entitled(replica):
                 return self._route(request)
             client = context.peer_clients.get(leader) if leader else None
             if client is not None:
-                break
-            # A query may wait a moment for an election to end. A submission
-            # is answered at once: its user is better off asking again.
-            if not hold or context.runtime.now() >= until:
+                return self._call(client, request, leader)
+            # A query may wait a moment for an election to end. A submission is
+            # answered at once: it is better for its user to retry.
+            if not wait_for_election or context.runtime.now() >= deadline:
                 return unavailable()
-            context.runtime.sleep(0.05)
+            context.runtime.sleep(ELECTION_POLL_S)
+
+    def _call(self, client: HttpCaller, request: Request, leader: str | None) -> Response:
         try:
             body = request.body if request.method == "POST" else None
-            asked_at = context.runtime.now()
-            answer = client.request_full(request.method, request.path, body, FORWARD_S)
+            sent_at = self._context.runtime.now()
+            answer = client.request_full(request.method, request.path, body, FORWARD_TIMEOUT_S)
         except ClientError as error:
-            log.debug("forwarding: %s", error)
+            log.debug("forward failed leader=%s path=%s error=%s", leader, request.path, error)
             return unavailable()
-        return self._freshness.forwarded_response(answer, asked_at)
+        return self._freshness.forwarded_response(answer, sent_at)
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -1,77 +1,76 @@
-"""Users' answers are checked once more right before they are sent.
+"""Responses to users are validated once more right before they are sent.
 
-A node may stand still between working an answer out and sending it, while its clocks run on
-and a successor is elected; or another routine of it may tell the same user something newer
-meanwhile. Nobody may get an older answer then. What is final never gets old.
+A node may pause between working out a response and sending it, while the clock runs on and
+a successor is elected; or another of its threads may meanwhile tell the same user something
+newer. Nobody may get the older response then. Final states never become out of date.
 
-A sibling that passes an answer on is told for how long the node that gave it stays entitled.
-It counts from when it asked, which is earlier, so what it still sends was not contradicted by
-any other leader.
+A peer that forwards a response is told for how long the lease of the node that gave it is
+valid. It counts from when it sent the request, which is earlier, so no other leader has
+contradicted what it still sends.
 """
 
 from __future__ import annotations
 
-from appleshift.api.context import (
-    ApiContext,
-    SchedulerReply,
-    ShardReplicaView,
-    respond,
-    unavailable,
-)
+from appleshift.api.context import ApiContext
+from appleshift.api.responses import SchedulerReply, respond, unavailable
+from appleshift.api.views import ShardReplicaView
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import HttpAnswer
 from appleshift.transport.server import Response
 
 VALID_FOR = "Valid-For-Ms"
-"""For siblings: how much longer the node that answered is entitled to."""
+"""Header for peers: how much longer the lease of the node that responded is valid."""
 FINAL_STATES = (users.DONE, users.CANCELLED)
+"""States of a job that never change again."""
 
 
 class ResponseFreshness:
-    """Of the answers that the holder of a share gives to users."""
+    """Validates the responses that a shard's leader gives to users."""
 
     def __init__(self, context: ApiContext) -> None:
+        """Use the clock of ``context``."""
         self._context = context
 
     def revalidated_before_sending(
         self, answer: SchedulerReply, replica: ShardReplicaView, job_id: str
     ) -> Response:
-        """The response to a user, which is looked at again right before it is sent."""
+        """The response to a user, which is validated again right before it is sent."""
         response = answer.response()
         may_change = answer.status in (200, 201, 404)
         if not may_change or answer.body.get("status") in FINAL_STATES:
             return response
 
-        def revalidate(worked_out: Response) -> Response:
-            return self._current(worked_out, replica, job_id)
+        def revalidate(prepared: Response) -> Response:
+            return self._current(prepared, replica, job_id)
 
         return Response(response.status, response.body, response.headers, revalidate=revalidate)
 
     def _current(self, response: Response, replica: ShardReplicaView, job_id: str) -> Response:
-        told = replica.last_reported_state(job_id)
-        if told in FINAL_STATES:
-            # Over since this was worked out, and perhaps its user was told so elsewhere.
-            return respond(200, users.status_body(job_id, told))
+        """The response itself while it is up to date, else what is to be sent instead."""
+        reported_state = replica.last_reported_state(job_id)
+        if reported_state in FINAL_STATES:
+            # The job ended since, and perhaps its user was told so by another connection.
+            return respond(200, users.status_body(job_id, reported_state))
         if response.status == 201:
-            # What this request itself wrote; nobody was told anything of it before.
+            # This request itself created the job; nobody was told anything of it before.
             return response
-        left_s = replica.lease.valid_for_s(self._context.runtime.now())
-        if left_s <= 0.0 or (response.status == 404 and told is not None):
+        valid_for_s = replica.lease.valid_for_s(self._context.runtime.now())
+        if valid_for_s <= 0.0 or (response.status == 404 and reported_state is not None):
             return unavailable()
-        headers = {**response.headers, VALID_FOR: str(int(left_s * 1000))}
+        headers = {**response.headers, VALID_FOR: str(int(valid_for_s * 1000))}
         return Response(response.status, response.body, headers)
 
     def forwarded_response(self, answer: HttpAnswer, asked_at: float) -> Response:
-        """A sibling's answer to what it was asked then, as long as it is valid."""
+        """A peer's answer to a request sent to it at ``asked_at``, while it is valid."""
         headers = {"Retry-After": answer.retry_after} if answer.retry_after else {}
-        valid_for = answer.valid_for_ms
-        if valid_for is None or not valid_for.isdecimal():
-            # Final, a refusal, or of a version that does not say.
+        valid_for_ms = answer.valid_for_ms
+        if valid_for_ms is None or not valid_for_ms.isdecimal():
+            # A final state, a refusal, or a peer of a version that does not send the header.
             return Response(answer.status, answer.body, headers)
-        until = asked_at + int(valid_for) / 1000 / CLOCK_DRIFT
+        valid_until = asked_at + int(valid_for_ms) / 1000 / CLOCK_DRIFT
 
         def revalidate(received: Response) -> Response:
-            return received if self._context.runtime.now() < until else unavailable()
+            return received if self._context.runtime.now() < valid_until else unavailable()
 
         return Response(answer.status, answer.body, headers, revalidate=revalidate)
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -1,11 +1,13 @@
-"""Operators' requests: who leads, and counted resources with their audit."""
+"""Operators' requests: readiness, the nodes, and counted resources with their audit."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
-from appleshift.api.context import ApiContext, respond, unavailable
+from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
+from appleshift.api.responses import respond, unavailable
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.storage.key_value_store import KeyValueStore, StoreError
@@ -13,88 +15,98 @@
 from appleshift.transport.concurrency import RateLimiter
 from appleshift.transport.server import Request, Response
 
-PAGES_RPS = 2.0
-"""Pages of the audit that a node reads in a second. They come out of its share
-of the state service's requests, which renewals of its lease need first."""
+COUNTED_RESOURCES_PATH = "/seats"
+MAX_NUMBER_DIGITS = 18
+"""A longer number in a path is no audit page or entry."""
+AUDIT_PAGES_PER_S = 2.0
+"""Audit pages that a node reads in a second. They come out of its part of the key-value
+store's request rate, which renewals of its leader lease need first."""
 
 
 class OperatorEndpoints:
-    """``hears``: for how many machines there is place among this node's connections."""
+    """Endpoints for operators and for health checks."""
 
     def __init__(
         self,
         context: ApiContext,
         forwarder: Forwarder,
         store: KeyValueStore,
-        hears: Callable[[], int],
+        max_machines: Callable[[], int],
     ) -> None:
+        """``max_machines``: how many machines this node's connections have room for."""
         self._context = context
         self._forwarder = forwarder
         self._store = store
-        self._max_machines = hears
-        self._pages = RateLimiter(context.runtime, PAGES_RPS)
+        self._max_machines = max_machines
+        self._audit_rate = RateLimiter(context.runtime, AUDIT_PAGES_PER_S)
 
     def ready(self) -> Response:
-        """While most of what users may need can be reached from here."""
-        known = self._context.shard_map()
-        wanted = [0] if known is None else known.submission_shards
+        """200 while at least half of the shards with submissions can be served from here."""
+        shard_map = self._context.shard_map()
+        shards = [0] if shard_map is None else shard_map.submission_shards
         served = sum(
             1
-            for share in wanted
-            if share in self._context.replicas
-            and self._context.replicas[share].election.can_serve_users()
+            for shard in shards
+            if shard in self._context.replicas
+            and self._context.replicas[shard].election.can_serve_users()
         )
-        ready = served * 2 >= len(wanted)
+        ready = served * 2 >= len(shards)
         return respond(200 if ready else 503, {"ready": ready})
 
     def nodes(self) -> Response:
-        """For operators: who leads, as far as this node knows."""
-        leadership, election = self._context.first.lease, self._context.first.election
+        """Who leads, as far as this node knows."""
+        lease, election = self._context.first_replica.lease, self._context.first_replica.election
         body = {
             "name": election.name,
-            "leading": leadership.is_leader,
+            "leading": lease.is_leader,
             "leader": election.leader,
-            "token": max(leadership.fencing_token, leadership.highest_seen_token),
+            "token": max(lease.fencing_token, lease.highest_seen_token),
             "relays": election.relays(),
             "sent_away": election.current_relayed_fraction(),
             "hears": self._max_machines(),
         }
         if self._context.shard_map() is not None:
-            body["shares"] = [
-                {
-                    "share": share,
-                    "holder": replica.election.current_leader(),
-                    "token": max(replica.lease.fencing_token, replica.lease.highest_seen_token),
-                    **replica.view(),
-                }
-                for share, replica in sorted(self._context.replicas.items())
-            ]
+            body["shares"] = self._shard_rows()
         return respond(200, body)
 
+    def _shard_rows(self) -> list[dict[str, Any]]:
+        return [
+            {
+                "share": shard,
+                "holder": replica.election.current_leader(),
+                "token": max(replica.lease.fencing_token, replica.lease.highest_seen_token),
+                **replica.view(),
+            }
+            for shard, replica in sorted(self._context.replicas.items())
+        ]
+
     def counted_resources(self, path: str, request: Request, forwarded: bool) -> Response:
-        """For operators: what is counted; its audit, page by page, then the tail."""
-        what, _, number = path.removeprefix("/seats").strip("/").partition("/")
-        if not what:
-            return (
-                self._forwarder.forward(self._context.first, request, forwarded, hold=True)
-                if self._context.is_led_elsewhere(self._context.first)
-                else self._context.ask(
-                    events.GetCountedResources(0, self._context.runtime.queue(), None)
-                )
-            )
-        if what not in ("pages", "after") or not number.isdecimal() or len(number) > 18:
+        """Counted resources as they are; their audit page by page, then its newest entries."""
+        view, _, number = path.removeprefix(COUNTED_RESOURCES_PATH).strip("/").partition("/")
+        if not view:
+            return self._ask_leader(None, request, forwarded)
+        if (
+            view not in ("pages", "after")
+            or not number.isdecimal()
+            or len(number) > MAX_NUMBER_DIGITS
+        ):
             return respond(404, users.error_body("no such path"))
-        if what == "pages":
+        if view == "pages":
             # Written once and never changed: any node may read them.
             return self._audit_page(int(number))
-        if self._context.is_led_elsewhere(self._context.first):
-            return self._forwarder.forward(self._context.first, request, forwarded, hold=True)
+        return self._ask_leader(int(number) - 1, request, forwarded)
+
+    def _ask_leader(self, after: int | None, request: Request, forwarded: bool) -> Response:
+        """The leader's counted resources, or with ``after`` their audit after that entry."""
+        replica = self._context.first_replica
+        if self._context.is_led_elsewhere(replica):
+            return self._forwarder.forward(replica, request, forwarded, wait_for_election=True)
         return self._context.ask(
-            events.GetCountedResources(0, self._context.runtime.queue(), int(number) - 1)
+            events.GetCountedResources(0, self._context.runtime.queue(), after)
         )
 
     def _audit_page(self, number: int) -> Response:
-        if not self._pages.try_acquire():
+        if not self._audit_rate.try_acquire():
             return unavailable()
         try:
             item = self._store.get(audit_key(number))
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -1,10 +1,11 @@
-"""Peers' requests: votes for a leader, heartbeats, reachability, calls between sharding."""
+"""Peers' requests: lease votes, peer status, connectivity, and calls between shards."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from appleshift.api.context import ApiContext, respond, unavailable
+from appleshift.api.context import ApiContext
+from appleshift.api.responses import respond, unavailable
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
@@ -12,45 +13,46 @@
 
 
 class PeerEndpoints:
-    """``reaches``: does a worker's address answer this node? ``hello`` makes its heartbeat."""
+    """Endpoints for the other nodes of the cluster."""
 
     def __init__(
         self,
         context: ApiContext,
-        reaches: Callable[[str], bool],
-        hello: Callable[[], peers.PeerStatus | None],
+        is_worker_reachable: Callable[[str], bool],
+        own_status: Callable[[], peers.PeerStatus | None],
     ) -> None:
+        """``is_worker_reachable``: whether the worker at an address answers this node."""
         self._context = context
-        self._is_worker_reachable = reaches
-        self._own_status = hello
+        self._is_worker_reachable = is_worker_reachable
+        self._own_status = own_status
 
     def peer_status(self) -> Response:
+        """This node's status."""
         return respond(200, self._own_status())
 
     def lease_vote(self, body: bytes) -> Response:
+        """Vote for a leader that wants to keep its lease; 409 without the vote."""
         try:
             request = peers.decode_lease_vote_request(body)
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
         replica = self._context.replicas.get(request.shard)
-        given = replica is not None and replica.election.grant_vote(request)
-        return respond(
-            200 if given else 409, peers.LeaseVote(given, self._context.first.election.process_id)
-        )
+        granted = replica is not None and replica.election.grant_vote(request)
+        process_id = self._context.first_replica.election.process_id
+        return respond(200 if granted else 409, peers.LeaseVote(granted, process_id))
 
     def connectivity(self, body: bytes) -> Response:
-        """Do some of these workers answer this node, and could it be elected?"""
+        """Whether one of these workers answers this node, and it could be elected."""
         try:
             request = peers.decode_connectivity_request(body)
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
-        reached = any(self._is_worker_reachable(addr) for addr in request.addresses)
-        return respond(
-            200, peers.ConnectivityReply(reached and self._context.first.election.store_answers())
-        )
+        reached = any(self._is_worker_reachable(address) for address in request.addresses)
+        reached = reached and self._context.first_replica.election.store_answers()
+        return respond(200, peers.ConnectivityReply(reached))
 
     def shard_call(self, body: bytes) -> Response:
-        """The holder of another share asks this one's."""
+        """The leader of another shard calls the leader of one of this node's shards."""
         try:
             call = sharding.decode_call(body)
         except ProtocolError as error:
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -1,23 +1,20 @@
-"""Which endpoint answers a request; bad requests and defects end no connection's routine."""
+"""Routes requests to the endpoints; bad requests and defects end no connection's thread."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from urllib.parse import unquote, urlsplit
 
-from appleshift.api.context import (
-    ApiContext,
-    ShardMapView,
-    ShardReplicaView,
-    refuse_method,
-    respond,
-)
+from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
 from appleshift.api.freshness import ResponseFreshness
-from appleshift.api.operator_endpoints import OperatorEndpoints
+from appleshift.api.operator_endpoints import COUNTED_RESOURCES_PATH, OperatorEndpoints
 from appleshift.api.peer_endpoints import PeerEndpoints
-from appleshift.api.user_endpoints import JOBS, UserEndpoints
+from appleshift.api.responses import refuse_method, respond
+from appleshift.api.user_endpoints import JOBS_PATH, UserEndpoints
+from appleshift.api.views import ShardMapView, ShardReplicaView
 from appleshift.api.worker_endpoints import WorkerEndpoints
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
@@ -29,54 +26,74 @@
 
 log = logging.getLogger(__name__)
 
+HEARTBEAT_PATH = "/agent/beat"
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RouterDependencies:
+    """What the endpoints need of their node; the defaults are those of a node without peers."""
+
+    replicas: Mapping[int, ShardReplicaView]
+    """By shard."""
+    peer_clients: dict[str, HttpCaller]
+    """By the peer's name."""
+    post: Callable[[events.Event], None]
+    """Queues an event for the scheduler's thread."""
+    load: Callable[[], float]
+    """Length of the scheduler's queue, in multiples of what a node should have at most."""
+    is_worker_reachable: Callable[[str], bool]
+    """Whether the worker at an address answers this node."""
+    runtime: Runtime
+    store: KeyValueStore
+    max_machines: Callable[[], int] = lambda: 0
+    """How many machines this node's connections have room for."""
+    own_status: Callable[[], peers.PeerStatus | None] = lambda: None
+    """This node's status for its peers."""
+    shard_map: Callable[[], ShardMapView | None] = lambda: None
+    """The shard map that this node goes by; None: there is one shard."""
+    is_crowded: Callable[[], bool] = lambda: False
+    """Whether the node's connections are nearly used up."""
+    heartbeat_received: Callable[[], None] = lambda: None
+    """Called for each heartbeat that a worker sends to this node."""
+
 
 class RequestRouter:
-    """Routes of both listeners. Runs on the connections' routines."""
-
-    def __init__(
-        self,
-        replicas: Mapping[int, ShardReplicaView],
-        siblings: dict[str, HttpCaller],
-        post: Callable[[events.Event], None],
-        load: Callable[[], float],
-        reaches: Callable[[str], bool],
-        runtime: Runtime,
-        store: KeyValueStore,
-        hears: Callable[[], int] = lambda: 0,
-        hello: Callable[[], peers.PeerStatus | None] = lambda: None,
-        share_map: Callable[[], ShardMapView | None] = lambda: None,
-        crowded: Callable[[], bool] = lambda: False,
-        heard: Callable[[], None] = lambda: None,
-    ) -> None:
-        context = ApiContext(replicas, siblings, post, load, runtime, share_map)
+    """Routes of both listeners. Runs on the connections' threads."""
+
+    def __init__(self, node: RouterDependencies) -> None:
+        """Create the endpoints of a node."""
+        context = ApiContext(
+            node.replicas, node.peer_clients, node.post, node.load, node.runtime, node.shard_map
+        )
         freshness = ResponseFreshness(context)
         forwarder = Forwarder(
             context, freshness, lambda request: self._route(request, forwarded=True)
         )
         self._users = UserEndpoints(context, forwarder, freshness)
-        self._workers = WorkerEndpoints(context, crowded, heard)
-        self._peers = PeerEndpoints(context, reaches, hello)
-        self._operators = OperatorEndpoints(context, forwarder, store, hears)
+        self._workers = WorkerEndpoints(context, node.is_crowded, node.heartbeat_received)
+        self._peers = PeerEndpoints(context, node.is_worker_reachable, node.own_status)
+        self._operators = OperatorEndpoints(context, forwarder, node.store, node.max_machines)
+        self._peer_routes: dict[tuple[str, str], Callable[[bytes], Response]] = {
+            ("POST", peers.LEASE_VOTE_PATH): self._peers.lease_vote,
+            ("GET", peers.PEER_STATUS_PATH): lambda _: self._peers.peer_status(),
+            ("POST", sharding.SHARD_CALL_PATH): self._peers.shard_call,
+            ("POST", peers.HEARTBEAT_BATCH_PATH): self._workers.relayed_heartbeats,
+            ("POST", peers.CONNECTIVITY_PATH): self._peers.connectivity,
+        }
 
     def stop(self) -> None:
+        """End the endpoints' own threads."""
         self._workers.stop()
 
     def public(self, request: Request) -> Response:
-        """Users, workers and health checks."""
+        """Answer users, workers and health checks."""
         return self._guarded(request, forwarded=False)
 
     def cluster(self, request: Request) -> Response:
-        """The siblings: their own calls, and users' requests that they send on."""
-        if request.path == peers.LEASE_VOTE_PATH and request.method == "POST":
-            return self._peers.lease_vote(request.body)
-        if request.path == peers.PEER_STATUS_PATH and request.method == "GET":
-            return self._peers.peer_status()
-        if request.path == sharding.SHARD_CALL_PATH and request.method == "POST":
-            return self._peers.shard_call(request.body)
-        if request.path == peers.HEARTBEAT_BATCH_PATH and request.method == "POST":
-            return self._workers.relayed_heartbeats(request.body)
-        if request.path == peers.CONNECTIVITY_PATH and request.method == "POST":
-            return self._peers.connectivity(request.body)
+        """Answer peers: their own calls, and users' requests that they forward."""
+        handler = self._peer_routes.get((request.method, request.path))
+        if handler is not None:
+            return handler(request.body)
         return self._guarded(request, forwarded=True)
 
     def _guarded(self, request: Request, forwarded: bool) -> Response:
@@ -85,29 +102,35 @@
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         except Exception:
-            # One bad request must not end a routine, nor go unanswered.
-            log.exception("%s %s failed", request.method, request.path)
+            # One bad request must not end a thread, nor stay without a response.
+            log.exception("request failed method=%s path=%s", request.method, request.path)
             return respond(500, users.error_body("internal error"))
 
     def _route(self, request: Request, forwarded: bool) -> Response:
         path = urlsplit(request.path).path
+        if path == HEARTBEAT_PATH:
+            refused = refuse_method(request.method, "POST")
+            return refused or self._workers.heartbeat(request.body)
+        if path == JOBS_PATH:
+            refused = refuse_method(request.method, "POST")
+            return refused or self._users.submit(request, forwarded)
+        if path.startswith(JOBS_PATH + "/"):
+            return self._route_job(path[len(JOBS_PATH) + 1 :], request, forwarded)
+        return self._route_operator(path, request, forwarded)
+
+    def _route_operator(self, path: str, request: Request, forwarded: bool) -> Response:
         method = request.method
-        if path == "/agent/beat":
-            return refuse_method(method, "POST") or self._workers.heartbeat(request.body)
         if path == "/ready":
             return refuse_method(method, "GET") or self._operators.ready()
         if path == "/nodes":
             return refuse_method(method, "GET") or self._operators.nodes()
-        if path == "/seats" or path.startswith("/seats/"):
+        if path == COUNTED_RESOURCES_PATH or path.startswith(COUNTED_RESOURCES_PATH + "/"):
             refused = refuse_method(method, "GET")
             return refused or self._operators.counted_resources(path, request, forwarded)
-        if path == JOBS:
-            return refuse_method(method, "POST") or self._users.submit(request, forwarded)
-        if path.startswith(JOBS + "/"):
-            return self._route_job(path[len(JOBS) + 1 :], request, forwarded)
         return respond(404, users.error_body("no such path"))
 
     def _route_job(self, rest: str, request: Request, forwarded: bool) -> Response:
+        """``rest``: the part of the path after the jobs' own, still quoted."""
         job_id, *action = unquote(rest).split("/")
         if not action:
             refused = refuse_method(request.method, "GET")
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -1,147 +1,195 @@
-"""Users' requests: submissions, queries and cancellations, sent to the share they are about."""
+"""Users' requests: submissions, queries and cancellations, put to the shard they are about."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from urllib.parse import parse_qs, urlsplit
 
-from appleshift.api.context import (
-    ApiContext,
-    ShardReplicaView,
-    respond,
-    unavailable,
-)
+from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
 from appleshift.api.freshness import ResponseFreshness
+from appleshift.api.responses import respond, unavailable
+from appleshift.api.views import ShardReplicaView
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.server import Request, Response
 
-JOBS = "/submissions"
+JOBS_PATH = "/submissions"
+MAX_QUERY_NUMBER_DIGITS = 19
+"""A longer number in a query counts as malformed."""
 
-JobRequest = events.SubmitJob | events.GetJobStatus | events.CancelJob
-MakeEvent = Callable[[int, bool, int], JobRequest]
-"""Makes the event for a share; whether another share says that it decides, and the
-version of the map that led there."""
+JobEvent = events.SubmitJob | events.GetJobStatus | events.CancelJob
 
 
-def _number(query: dict[str, list[str]], name: str) -> int:
+@dataclass(frozen=True, slots=True)
+class ShardTarget:
+    """The shard that a request is put to."""
+
+    shard: int
+    forwarded_by_home: bool
+    """The job's home shard has recorded that this one decides for the job."""
+    map_version: int
+    """Of the shard map that led to this shard; 0: there is none."""
+
+
+@dataclass(frozen=True, slots=True)
+class JobCall:
+    """A user's request about a job, which may be put to one shard after another."""
+
+    request: Request
+    make_event: Callable[[ShardTarget], JobEvent]
+    """Makes the scheduler's event for a shard, with a reply queue of its own."""
+    wait_for_election: bool
+    """Whether a response may wait for an election that is under way."""
+
+
+def _query_number(query: dict[str, list[str]], name: str) -> int:
+    """A number in a query string: 0 if it is left out, -1 if it is malformed."""
     text = query.get(name, ["0"])[0]
-    return int(text) if text.isdecimal() and len(text) < 20 else -1
+    return int(text) if text.isdecimal() and len(text) <= MAX_QUERY_NUMBER_DIGITS else -1
 
 
 class UserEndpoints:
-    """``forwarded``: a sibling sent the request on; it names the share that it asks."""
+    """Endpoints for users' jobs.
+
+    ``forwarded``: a peer forwarded the request; it names the shard that it asks.
+    """
 
     def __init__(
         self, context: ApiContext, forwarder: Forwarder, freshness: ResponseFreshness
     ) -> None:
+        """Share ``context`` and ``forwarder`` with the node's other endpoints."""
         self._context = context
         self._forwarder = forwarder
         self._freshness = freshness
 
     def submit(self, request: Request, forwarded: bool) -> Response:
+        """Accept a job, or say what became of it if it is known already.
+
+        Raises ProtocolError for a malformed submission.
+        """
         spec = users.decode_submission(request.body)
 
-        def event(share: int, homed: bool, version: int) -> events.SubmitJob:
-            return events.SubmitJob(share, self._context.runtime.queue(), spec, homed)
-
-        known = self._context.shard_map()
-        if forwarded or known is None:
-            return self._ask_home_shard(request, event, forwarded, hold=False)
-        first, *formers = known.home_shards(spec.id)
-        for share in formers:
-            # From before the shares were divided anew: known there, or to nobody.
-            look = Request("GET", f"{JOBS}/{spec.id}", b"")
-            told = self._ask_shard(share, look, self._status_event(spec.id), hold=False)
-            if told.status == 421:
-                return self._follow_redirect(told, request, event, hold=False)
-            if told.status == 200:
-                first = share
+        def submit_event(target: ShardTarget) -> events.SubmitJob:
+            return events.SubmitJob(
+                target.shard, self._context.runtime.queue(), spec, target.forwarded_by_home
+            )
+
+        call = JobCall(request, submit_event, wait_for_election=False)
+        shard_map = self._context.shard_map()
+        if forwarded or shard_map is None:
+            return self._ask_named_shard(call, forwarded)
+        home, *former_homes = shard_map.home_shards(spec.id)
+        for shard in former_homes:
+            # The job may have been submitted before the shards were split anew: then a
+            # former home knows it, else nobody does.
+            query = Request("GET", f"{JOBS_PATH}/{spec.id}", b"")
+            response = self._ask_shard(
+                shard, self._status_call(spec.id, query, wait_for_election=False)
+            )
+            if response.status == 421:
+                return self._follow_redirect(response, call)
+            if response.status == 200:
+                home = shard
                 break
-            if told.status != 404:
+            if response.status != 404:
                 return unavailable()
-        told = self._ask_shard(first, request, event, hold=False)
-        return self._follow_redirect(told, request, event, hold=False)
+        return self._follow_redirect(self._ask_shard(home, call), call)
 
     def status(self, job_id: str, request: Request, forwarded: bool) -> Response:
-        return self._job(self._status_event(job_id), job_id, request, forwarded, hold=True)
+        """A job's state; 404 for one that nobody submitted."""
+        call = self._status_call(job_id, request, wait_for_election=True)
+        return self._ask_about_job(call, job_id, forwarded)
 
     def cancel(self, job_id: str, request: Request, forwarded: bool) -> Response:
-        return self._job(self._cancel_event(job_id), job_id, request, forwarded, hold=False)
+        """Cancel a job, unless it is done; 404 for one that nobody submitted."""
+
+        def cancel_event(target: ShardTarget) -> events.CancelJob:
+            return events.CancelJob(
+                target.shard,
+                self._context.runtime.queue(),
+                job_id,
+                target.forwarded_by_home,
+                target.map_version,
+            )
 
-    def _status_event(self, job_id: str) -> MakeEvent:
-        return lambda *by: events.GetJobStatus(
-            by[0], self._context.runtime.queue(), job_id, *by[1:]
-        )
+        call = JobCall(request, cancel_event, wait_for_election=False)
+        return self._ask_about_job(call, job_id, forwarded)
+
+    def _status_call(self, job_id: str, request: Request, wait_for_election: bool) -> JobCall:
+        def status_event(target: ShardTarget) -> events.GetJobStatus:
+            return events.GetJobStatus(
+                target.shard,
+                self._context.runtime.queue(),
+                job_id,
+                target.forwarded_by_home,
+                target.map_version,
+            )
 
-    def _cancel_event(self, job_id: str) -> MakeEvent:
-        return lambda *by: events.CancelJob(by[0], self._context.runtime.queue(), job_id, *by[1:])
+        return JobCall(request, status_event, wait_for_election)
 
-    def _job(
-        self, event: MakeEvent, job_id: str, request: Request, forwarded: bool, hold: bool
-    ) -> Response:
+    def _ask_about_job(self, call: JobCall, job_id: str, forwarded: bool) -> Response:
+        """The response of the first of the job's home shards that knows it."""
         if not users.valid_id(job_id):
             # Users also ask about jobs that nobody can have submitted.
             return respond(404, users.error_body("no such job"))
-        known = self._context.shard_map()
-        if forwarded or known is None:
-            return self._ask_home_shard(request, event, forwarded, hold)
-        for share in known.home_shards(job_id):
-            told = self._follow_redirect(
-                self._ask_shard(share, request, event, hold), request, event, hold
-            )
-            if told.status != 404:
+        shard_map = self._context.shard_map()
+        if forwarded or shard_map is None:
+            return self._ask_named_shard(call, forwarded)
+        for shard in shard_map.home_shards(job_id):
+            response = self._follow_redirect(self._ask_shard(shard, call), call)
+            if response.status != 404:
                 break
-        return told
-
-    def _ask_home_shard(
-        self, request: Request, event: MakeEvent, forwarded: bool, hold: bool
-    ) -> Response:
-        """A sibling names the share that it asks; without a map there is one."""
-        query = parse_qs(urlsplit(request.path).query)
-        share, version = _number(query, "share"), _number(query, "map")
-        replica = self._context.replicas.get(share)
+        return response
+
+    def _ask_named_shard(self, call: JobCall, forwarded: bool) -> Response:
+        """Put a call to the shard that a peer names; without a shard map there is one."""
+        query = parse_qs(urlsplit(call.request.path).query)
+        target = ShardTarget(
+            shard=_query_number(query, "share"),
+            forwarded_by_home="homed" in query,
+            map_version=_query_number(query, "map"),
+        )
+        replica = self._context.replicas.get(target.shard)
         if replica is None:
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
-            return self._ask_here(replica, event(share, "homed" in query, version))
-        return self._forwarder.forward(replica, request, forwarded, hold)
+            return self._ask_here(replica, call.make_event(target))
+        return self._forwarder.forward(replica, call.request, forwarded, call.wait_for_election)
 
-    def _ask_here(self, replica: ShardReplicaView, event: JobRequest) -> Response:
-        """What this node answers for a share that it holds."""
-        answer = self._context.ask_scheduler(event)
-        if answer is None:
+    def _ask_here(self, replica: ShardReplicaView, event: JobEvent) -> Response:
+        """This node's response for a shard that it leads."""
+        reply = self._context.ask_scheduler(event)
+        if reply is None:
             return unavailable()
-        return self._freshness.revalidated_before_sending(answer, replica, event.job_id)
-
-    def _ask_shard(
-        self, share: int, request: Request, event: MakeEvent, hold: bool, homed: bool = False
-    ) -> Response:
-        """What a share's holder answers, here or at a sibling."""
-        replica = self._context.replicas.get(share)
-        known = self._context.shard_map()
-        version = 0 if known is None else known.version
+        return self._freshness.revalidated_before_sending(reply, replica, event.job_id)
+
+    def _ask_shard(self, shard: int, call: JobCall, forwarded_by_home: bool = False) -> Response:
+        """The response of a shard's leader, which may be this node or a peer."""
+        replica = self._context.replicas.get(shard)
+        shard_map = self._context.shard_map()
+        version = 0 if shard_map is None else shard_map.version
         if replica is None:
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
-            return self._ask_here(replica, event(share, homed, version))
-        query = f"?share={share}&map={version}" + ("&homed=1" if homed else "")
+            target = ShardTarget(shard, forwarded_by_home, version)
+            return self._ask_here(replica, call.make_event(target))
+        request = call.request
+        query = f"?share={shard}&map={version}" + ("&homed=1" if forwarded_by_home else "")
         path = urlsplit(request.path).path + query
         return self._forwarder.forward(
-            replica, Request(request.method, path, request.body), False, hold
+            replica, Request(request.method, path, request.body), False, call.wait_for_election
         )
 
-    def _follow_redirect(
-        self, told: Response, request: Request, event: MakeEvent, hold: bool
-    ) -> Response:
-        """The share that an id leads to may name another, which decides for the job."""
-        if told.status != 421:
-            return told
+    def _follow_redirect(self, response: Response, call: JobCall) -> Response:
+        """The response itself, unless the home shard names another that decides for the job."""
+        if response.status != 421:
+            return response
         try:
-            share = decode(told.body)["share"]
+            shard = decode(response.body)["share"]
         except (ProtocolError, KeyError, TypeError):
             return unavailable()
-        told = self._ask_shard(share, request, event, hold, homed=True)
-        return unavailable() if told.status == 421 else told
+        response = self._ask_shard(shard, call, forwarded_by_home=True)
+        return unavailable() if response.status == 421 else response
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -1,64 +1,103 @@
-"""Workers' reports: answered here, passed on to the leader, or sent to another node."""
+"""Workers' heartbeats: answered here, relayed to the leader, or sent to another node."""
 
 from __future__ import annotations
 
 import queue
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
-from appleshift.api.context import (
-    MAX_LOAD,
-    ApiContext,
-    ShardReplicaView,
-    respond,
-    unavailable,
-)
+from appleshift.api.context import MAX_QUEUE_LOAD, ApiContext
+from appleshift.api.responses import respond, unavailable
+from appleshift.api.views import ShardReplicaView
 from appleshift.contracts import events
 from appleshift.heartbeat_ingest import relay_assignment
 from appleshift.heartbeat_ingest.relay import HeartbeatRelay
 from appleshift.protocol import peers, users, workers
 from appleshift.protocol.wire import ProtocolError, decode
+from appleshift.transport.concurrency import Queue
 from appleshift.transport.server import Response
 
-RELAYED_S = 2.5
-"""A relay waits 3 s for a batch's answers, its workers 4 s."""
+BATCH_REPLY_TIMEOUT_S = 2.5
+"""A relay waits 3 s for the responses to a batch, its workers 4 s."""
 
 
 class WorkerEndpoints:
-    """``crowded``: are the connections nearly used up? ``heard`` is told of each report."""
+    """Endpoints for workers, and for relays that pass workers' heartbeats on."""
 
     def __init__(
-        self, context: ApiContext, crowded: Callable[[], bool], heard: Callable[[], None]
+        self,
+        context: ApiContext,
+        is_crowded: Callable[[], bool],
+        heartbeat_received: Callable[[], None],
     ) -> None:
+        """``is_crowded``: whether the node's connections are nearly used up.
+
+        ``heartbeat_received`` is called for each heartbeat that a worker sends to this node.
+        """
         self._context = context
-        self._crowded = crowded
-        self._heard = heard
+        self._is_crowded = is_crowded
+        self._heartbeat_received = heartbeat_received
         self._relay = HeartbeatRelay(context.peer_clients, context.runtime)
 
     def stop(self) -> None:
+        """End the relay's threads."""
         self._relay.stop()
 
     def heartbeat(self, body: bytes) -> Response:
-        self._heard()
-        glance = workers.decode_heartbeat_header(body)
-        answer = self._unchanged_response(glance)
-        if answer is not None:
-            return self._close_when_crowded(Response(200, answer))
-        # A malformed report is refused by every node alike.
-        heartbeat, tasks = workers.decode_heartbeat(body), bytes(glance.tasks)
-        known = self._context.shard_map()
-        if known is not None:
-            share = known.shard_of_machine(heartbeat.machine, heartbeat.type)
-            return self._close_when_crowded(self._heartbeat_to_shard(heartbeat, tasks, share))
-        election = self._context.first.election
+        """The response to a worker's heartbeat.
+
+        Raises ProtocolError for a malformed one, which every node refuses alike.
+        """
+        self._heartbeat_received()
+        header = workers.decode_heartbeat_header(body)
+        unchanged = self._unchanged_response(header)
+        if unchanged is not None:
+            return self._close_when_crowded(Response(200, unchanged))
+        heartbeat, tasks = workers.decode_heartbeat(body), bytes(header.tasks)
+        shard_map = self._context.shard_map()
+        if shard_map is None:
+            return self._heartbeat_without_shards(heartbeat, tasks, body)
+        shard = shard_map.shard_of_machine(heartbeat.machine, heartbeat.type)
+        return self._close_when_crowded(self._heartbeat_to_shard(heartbeat, tasks, shard))
+
+    def _unchanged_response(self, header: workers.HeartbeatHeader) -> bytes | None:
+        """The response to a heartbeat without changes, if it has come to the right node."""
+        election = self._context.first_replica.election
+        relayed_fraction = (
+            election.current_relayed_fraction() if self._context.shard_map() is None else 0.0
+        )
+        if relayed_fraction and relay_assignment.relay_for(
+            header.machine, relayed_fraction, election.relays()
+        ):
+            return None
+        now = self._context.runtime.now()
+        for replica in [*self._context.replicas.values()]:
+            response = replica.unchanged_response(header, now)
+            if response is not None:
+                return response
+        return None
+
+    def _close_when_crowded(self, response: Response) -> Response:
+        if self._context.shard_map() is not None and self._is_crowded():
+            # This frees a connection for other workers: the next heartbeat opens another.
+            response.headers["Connection"] = "close"
+        return response
+
+    def _heartbeat_without_shards(
+        self, heartbeat: workers.Heartbeat, tasks: bytes, body: bytes
+    ) -> Response:
+        """A machine reports to the leader, or to the relay that it is assigned to."""
+        replica = self._context.first_replica
+        election = replica.election
         here = election.name
-        away = election.current_relayed_fraction()
+        relayed_fraction = election.current_relayed_fraction()
         relay = (
-            relay_assignment.relay_for(heartbeat.machine, away, election.relays()) if away else None
+            relay_assignment.relay_for(heartbeat.machine, relayed_fraction, election.relays())
+            if relayed_fraction
+            else None
         )
-        if not self._context.is_led_elsewhere(self._context.first):
+        if not self._context.is_led_elsewhere(replica):
             if relay is not None and relay != here:
                 return respond(421, workers.redirect_body(relay))
             return self._context.ask(
@@ -66,105 +105,100 @@
             )
         leader = election.current_leader()
         if relay == here and leader is not None and leader != here:
-            status, answer = self._relay.forward(leader, body)
-            return Response(status, answer)
-        to = relay or leader
-        return respond(421, workers.redirect_body(None if to == here else to))
-
-    def _unchanged_response(self, glance: workers.HeartbeatHeader) -> bytes | None:
-        """The answer to a report that says nothing new, if it has come to the right node."""
-        election = self._context.first.election
-        away = election.current_relayed_fraction() if self._context.shard_map() is None else 0.0
-        if away and relay_assignment.relay_for(glance.machine, away, election.relays()):
-            return None
-        now = self._context.runtime.now()
-        for replica in [*self._context.replicas.values()]:
-            answer = replica.unchanged_response(glance, now)
-            if answer is not None:
-                return answer
-        return None
-
-    def _close_when_crowded(self, response: Response) -> Response:
-        if self._context.shard_map() is not None and self._crowded():
-            # Others find a place meanwhile: its next report opens another connection.
-            response.headers["Connection"] = "close"
-        return response
+            answer = self._relay.forward(leader, body)
+            return Response(answer.status, answer.body)
+        target = relay or leader
+        return respond(421, workers.redirect_body(None if target == here else target))
 
     def _heartbeat_to_shard(
-        self, heartbeat: workers.Heartbeat, tasks: bytes, share: int
+        self, heartbeat: workers.Heartbeat, tasks: bytes, shard: int
     ) -> Response:
-        """A machine reports to the holder of its share, and to nobody else."""
-        replica = self._context.replicas.get(share)
+        """A machine reports to the leader of its shard, and to nobody else."""
+        replica = self._context.replicas.get(shard)
         if replica is None or self._context.is_led_elsewhere(replica):
-            # Perhaps it was handed on to a share that is held here.
-            for number, other in [*self._context.replicas.items()]:
-                if other.has_machine(heartbeat.machine) and not self._context.is_led_elsewhere(
-                    other
-                ):
-                    share, replica = number, other
+            # The machine may have been handed off to a shard that this node leads.
+            for other_shard, other in [*self._context.replicas.items()]:
+                if self._leads_shard_of(heartbeat.machine, other):
+                    shard, replica = other_shard, other
                     break
-        response = self._heartbeat_to_leader(replica, share, heartbeat, tasks)
-        if response.status == 421 and (told := decode(response.body)).get("share") is not None:
-            # It was handed on: its share's holder says where to.
-            share = told["share"]
-            response = self._heartbeat_to_leader(
-                self._context.replicas.get(share), share, heartbeat, tasks
-            )
-        return response
+        response = self._heartbeat_to_leader(replica, shard, heartbeat, tasks)
+        if response.status != 421:
+            return response
+        new_shard = decode(response.body).get("share")
+        if new_shard is None:
+            return response
+        # The machine was handed off: the leader of its shard names the new one.
+        replica = self._context.replicas.get(new_shard)
+        return self._heartbeat_to_leader(replica, new_shard, heartbeat, tasks)
+
+    def _leads_shard_of(self, machine: str, replica: ShardReplicaView) -> bool:
+        return replica.has_machine(machine) and not self._context.is_led_elsewhere(replica)
 
     def _heartbeat_to_leader(
         self,
         replica: ShardReplicaView | None,
-        share: int,
+        shard: int,
         heartbeat: workers.Heartbeat,
         tasks: bytes,
     ) -> Response:
+        """The scheduler's response if this node leads the shard, else a redirect."""
         if replica is None:
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
             return self._context.ask(
-                events.HeartbeatReceived(share, self._context.runtime.queue(), heartbeat, tasks)
+                events.HeartbeatReceived(shard, self._context.runtime.queue(), heartbeat, tasks)
             )
-        holder, here = replica.election.current_leader(), replica.election.name
-        return respond(421, workers.redirect_body(None if holder == here else holder))
+        leader, here = replica.election.current_leader(), replica.election.name
+        return respond(421, workers.redirect_body(None if leader == here else leader))
 
     def relayed_heartbeats(self, body: bytes) -> Response:
-        """What a relay has gathered: each report is answered as if it had come here."""
+        """The responses to a relay's batch: to each heartbeat as if it had come here.
+
+        All of them are queued for the scheduler before the first reply is waited for.
+        """
         try:
             batch = peers.decode_heartbeat_batch(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
-        waiting: list[tuple[Response | None, Any]] = []
-        for raw in batch.heartbeats:
-            reply_to = self._context.runtime.queue()
-            if (
-                self._context.is_led_elsewhere(self._context.first)
-                or self._context.load() > MAX_LOAD[events.HeartbeatReceived]
-            ):
-                waiting.append((unavailable(), reply_to))
-                continue
-            try:
-                glance = workers.decode_heartbeat_header(bytes(raw))
-                answer = self._context.first.unchanged_response(glance, self._context.runtime.now())
-                if answer is not None:
-                    waiting.append((Response(200, answer), reply_to))
-                    continue
-                heartbeat = workers.decode_heartbeat(bytes(raw))
-                self._context.post(
-                    events.HeartbeatReceived(0, reply_to, heartbeat, bytes(glance.tasks))
-                )
-                waiting.append((None, reply_to))
-            except ProtocolError as error:
-                waiting.append((respond(error.status, users.error_body(error.reason)), reply_to))
-        until = self._context.runtime.now() + RELAYED_S
-        answers = []
-        for response, reply_to in waiting:
-            if response is None:
-                try:
-                    left = max(0.0, until - self._context.runtime.now())
-                    status, told, _ = reply_to.get(timeout=left)
-                    response = respond(status, told)
-                except queue.Empty:
-                    response = unavailable()
-            answers.append(peers.RelayedResponse(response.status, msgspec.Raw(response.body)))
-        return respond(200, peers.HeartbeatResponses(answers))
+        pending = [self._submit_relayed(raw) for raw in batch.heartbeats]
+        deadline = self._context.runtime.now() + BATCH_REPLY_TIMEOUT_S
+        responses = [
+            entry if isinstance(entry, Response) else self._relayed_reply(entry, deadline)
+            for entry in pending
+        ]
+        return respond(
+            200,
+            peers.HeartbeatResponses(
+                [peers.RelayedResponse(each.status, msgspec.Raw(each.body)) for each in responses]
+            ),
+        )
+
+    def _submit_relayed(self, raw: msgspec.Raw) -> Response | Queue:
+        """A relayed heartbeat's response, or the queue to which the scheduler will reply."""
+        reply_to = self._context.runtime.queue()
+        if (
+            self._context.is_led_elsewhere(self._context.first_replica)
+            or self._context.load() > MAX_QUEUE_LOAD[events.HeartbeatReceived]
+        ):
+            return unavailable()
+        body = bytes(raw)
+        try:
+            header = workers.decode_heartbeat_header(body)
+            now = self._context.runtime.now()
+            unchanged = self._context.first_replica.unchanged_response(header, now)
+            if unchanged is not None:
+                return Response(200, unchanged)
+            heartbeat = workers.decode_heartbeat(body)
+        except ProtocolError as error:
+            return respond(error.status, users.error_body(error.reason))
+        self._context.post(events.HeartbeatReceived(0, reply_to, heartbeat, bytes(header.tasks)))
+        return reply_to
+
+    def _relayed_reply(self, reply_to: Queue, deadline: float) -> Response:
+        """The scheduler's reply; 503 without one by the deadline."""
+        try:
+            left_s = max(0.0, deadline - self._context.runtime.now())
+            status, body, _ = reply_to.get(timeout=left_s)
+        except queue.Empty:
+            return unavailable()
+        return respond(status, body)
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -11,7 +11,7 @@
 from itertools import zip_longest
 from typing import TYPE_CHECKING
 
-from appleshift.api.router import RequestRouter
+from appleshift.api.router import RequestRouter, RouterDependencies
 from appleshift.connectivity.hand_over import ConnectivityMonitor
 from appleshift.connectivity.monitor import SAMPLE_SIZE
 from appleshift.contracts import events
@@ -110,18 +110,22 @@
             self._context.candidacy_delay_s = self.connectivity.candidacy_delay_s
         self._peer_monitor = PeerMonitor(siblings, self._all_elections, runtime, self.connectivity)
         self.router = RequestRouter(
-            self.replicas,
-            siblings,
-            self._post,
-            lambda: self._events.qsize() / capacity.max_queued,
-            self.workers.is_reachable,
-            runtime,
-            self.store,
-            lambda: relay_assignment.max_machines(capacity.machines, len(self.election.relays())),
-            self._own_status,
-            self._shard_map,
-            lambda: self._connections() > CROWDED_SHARE * capacity.connections,
-            self.connectivity.heartbeat_received,
+            RouterDependencies(
+                replicas=self.replicas,
+                peer_clients=siblings,
+                post=self._post,
+                load=lambda: self._events.qsize() / capacity.max_queued,
+                is_worker_reachable=self.workers.is_reachable,
+                runtime=runtime,
+                store=self.store,
+                max_machines=lambda: relay_assignment.max_machines(
+                    capacity.machines, len(self.election.relays())
+                ),
+                own_status=self._own_status,
+                shard_map=self._shard_map,
+                is_crowded=lambda: self._connections() > CROWDED_SHARE * capacity.connections,
+                heartbeat_received=self.connectivity.heartbeat_received,
+            )
         )
         self._load_monitor = LoadMonitor(deployment.machine_limits, capacity, runtime.now())
         self._listeners: list[HttpListener] = []
--- a/tests/api/test_response_freshness.py
+++ b/tests/api/test_response_freshness.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from appleshift.api.context import SchedulerReply
 from appleshift.api.freshness import VALID_FOR, ResponseFreshness
+from appleshift.api.responses import SchedulerReply
 from appleshift.scheduler.job_requests import JobRequests
 from appleshift.transport.client import HttpAnswer
 from appleshift.transport.server import Request, Response
