--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 
 from appleshift.api.router import RequestRouter, RouterDependencies
-from appleshift.connectivity.hand_over import ConnectivityMonitor
-from appleshift.connectivity.monitor import SAMPLE_SIZE
+from appleshift.connectivity.connectivity_monitor import ConnectivityMonitor
+from appleshift.connectivity.worker_contacts import SAMPLE_SIZE
 from appleshift.contracts import events
 from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
 from appleshift.heartbeat_ingest import relay_assignment
--- a/tests/connectivity/test_connectivity.py
+++ b/tests/connectivity/test_connectivity.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from appleshift.connectivity.hand_over import ConnectivityMonitor
-from appleshift.connectivity.monitor import ContactSummary, WorkerContacts
-from appleshift.connectivity.peers import PeerReport, PeerReports
+from appleshift.connectivity.connectivity_monitor import ConnectivityMonitor
+from appleshift.connectivity.peer_reports import PeerReport, PeerReports
+from appleshift.connectivity.worker_contacts import ContactSummary, WorkerContacts
 from appleshift.leader_election.election import LeaderElection
 from tests.support.deployments import LARGE, SMALL, Site
 from tests.support.fault_injection import heal, unleash
