--- a/appleshift/leader_election/__init__.py
+++ b/appleshift/leader_election/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads: election, the leader lease, votes of the peers, and durable commits."""
+"""Leader election: candidacy, the leader's lease, votes of the peers, and durable commits."""
--- /dev/null
+++ b/appleshift/leader_election/candidacy.py
@@ -0,0 +1,141 @@
+"""A node's candidacy: one transaction that takes the holder key and a new fencing token."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from appleshift.leader_election.dependencies import ElectionDependencies
+from appleshift.leader_election.leader_term import FENCING_TOKEN_KEY, LeaderTerm
+from appleshift.protocol import kv
+from appleshift.storage.key_value_store import (
+    CompareFailedError,
+    LeaseExpiredError,
+    StoreError,
+)
+
+log = logging.getLogger(__name__)
+
+
+@dataclass(frozen=True, slots=True)
+class WonElection:
+    """A term that begins, and the lease that its holder key is bound to."""
+
+    term: LeaderTerm
+    lease_id: int
+    lease_requested_at: float
+    """The lease runs from here at the earliest, by this node's monotonic clock."""
+
+
+@dataclass(slots=True)
+class _Attempt:
+    """How far an attempt has come, for what must be undone when it fails."""
+
+    lease_id: int | None = None
+    resolved: bool = True
+    """No transaction of this attempt can be applied any more."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Proposal:
+    """The term to win, and the transaction that wins it."""
+
+    fencing_token: int
+    term_id: str
+    guards: list[dict[str, Any]]
+    changes: list[dict[str, Any]]
+
+
+class Candidacy:
+    """Used by the election's routine alone."""
+
+    def __init__(
+        self, dependencies: ElectionDependencies, on_elected: Callable[[WonElection], None]
+    ) -> None:
+        """``on_elected`` must begin the leader's lease before it returns."""
+        self._dependencies = dependencies
+        self._store = dependencies.store
+        self._lease = dependencies.lease
+        self._now = dependencies.runtime.now
+        self._on_elected = on_elected
+        self._attempt_number = 0
+        self._unresolved_lease_id: int | None = None
+
+    def resolve(self) -> None:
+        """End the lease of an attempt that got no answer: until then it may yet be applied."""
+        if self._unresolved_lease_id is None:
+            return
+        if self._store.revoke_lease(self._unresolved_lease_id):
+            self._unresolved_lease_id = None
+            self._lease.end_candidacy(resolved=True)
+
+    def stand(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
+        """Try to be elected; return whether there is a leader now, whoever it is.
+
+        Raises StoreError if the key-value store gives no usable answer.
+        """
+        if self._lease.candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
+            return False
+        attempt = _Attempt()
+        try:
+            return self._try_to_win(attempt, extra_guards)
+        finally:
+            if not self._lease.is_leader:
+                self._end(attempt)
+
+    def _try_to_win(self, attempt: _Attempt, extra_guards: tuple[tuple[str, int], ...]) -> bool:
+        dependencies = self._dependencies
+        requested_at = self._now()
+        lease_id = self._store.grant_lease(dependencies.operator.leader_lease_s)
+        attempt.lease_id = lease_id
+        proposal = self._propose(lease_id, extra_guards)
+        attempt.resolved = False
+        try:
+            revision = self._store.compare_and_swap(proposal.guards, proposal.changes)
+        except (CompareFailedError, LeaseExpiredError) as error:
+            attempt.resolved = True
+            log.debug("election not won shard=%d error=%s", dependencies.shard, error)
+            # Unless an extra guard failed, another node was elected: the caller is to
+            # find out which one without a pause.
+            extra_keys = {key for key, _ in extra_guards}
+            return isinstance(error, CompareFailedError) and not extra_keys & {*error.failed}
+        except StoreError as error:
+            attempt.resolved = error.refused
+            raise
+        term = LeaderTerm(
+            proposal.fencing_token, revision, proposal.term_id, dependencies.shard, extra_guards
+        )
+        self._on_elected(WonElection(term, lease_id, requested_at))
+        attempt.resolved = True
+        return True
+
+    def _propose(self, lease_id: int, extra_guards: tuple[tuple[str, int], ...]) -> _Proposal:
+        item = self._store.get(FENCING_TOKEN_KEY)
+        version = 0 if item is None else item.version
+        token = 1 if item is None else int(item.value["token"]) + 1
+        token = max(token, self._lease.highest_seen_token + 1)
+        self._attempt_number += 1
+        key, node_name = self._dependencies.key, self._dependencies.node_name
+        term_id = f"{self._dependencies.term_id_prefix}.{self._attempt_number}"
+        return _Proposal(
+            token,
+            term_id,
+            guards=[
+                kv.guard(key, 0),
+                kv.guard(FENCING_TOKEN_KEY, version),
+                *(kv.guard(*each) for each in extra_guards),
+            ],
+            changes=[
+                kv.put(key, {"name": node_name, "token": token, "mark": term_id}, lease_id),
+                kv.put(FENCING_TOKEN_KEY, {"token": token}),
+            ],
+        )
+
+    def _end(self, attempt: _Attempt) -> None:
+        if not attempt.resolved:
+            self._unresolved_lease_id = attempt.lease_id
+        elif attempt.lease_id is not None:
+            self._store.revoke_lease(attempt.lease_id)
+        self._lease.end_candidacy(attempt.resolved)
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -1,28 +1,27 @@
-"""What this node may do right now, and what it has promised to its siblings.
-
-Pure bookkeeping of times under one lock, so that no path through the threads
-can both pledge and stand. All times are of this node's steady clock; bounds on
-what others count are shortened by the clocks' possible drift.
-
-Why a pledge is enough: the leader is the only one while its lease holds. If
-every sibling promises, while the leader is still entitled, not to stand until
-a time beyond that, nobody can have been elected until the earliest of those
-times, whatever the state service does. One missing promise is as good as none.
-A sibling that restarts has forgotten its promise and waits it out, unless all
-its siblings tell it that none of them leads.
-
-When the leader's time ran out before it had all promises, somebody may have been
-elected meanwhile, but only a sibling may: who was elected with a newer token refuses
-a promise for an older one for as long as its process lives. So if every sibling
-promises, each by the very process that the leader heard while it was still entitled,
-nobody was elected in between, and the leader may go on. Without that, a state service
-that refused the leader for a second and a half and then everybody left nobody entitled
-for the whole outage, and all work on all machines ended with the workers' leases.
-
-A promise is given to a process, not to a node. Once a later process of that node
-has answered, the one that asked has ended: its port is taken before anything else
-is done. What it was promised binds nobody any more, and a request of its that was
-held back in the network is refused.
+"""What this node may do right now, and which vote it has granted to a peer.
+
+Only times are kept here, all under one lock, so that no path through the routines can
+both grant a vote and stand. All times are of this node's monotonic clock; bounds that
+other nodes count too are shortened by the drift that clocks may have.
+
+Why votes are enough: the leader is the only one while its lease holds. If every peer
+grants it a vote, while the leader is still entitled, and so does not stand until a time
+beyond that, no node can have been elected until the earliest of those times, whatever
+the key-value store does. One missing vote is as good as none. A peer that restarts has
+forgotten its vote and waits it out, unless all its peers tell it that none of them leads.
+
+When the leader's time ran out before it had all votes, a node may have been elected
+meanwhile, but only a peer may: a node elected with a newer fencing token refuses a vote
+for an older one for as long as its process lives. So if every peer grants one, each by
+the very process that the leader heard while it was still entitled, no node was elected
+in between, and the leader may go on. Without that, a store that refused the leader for
+a second and a half and then every node left no node entitled for the whole outage, and
+all tasks on all machines ended with the workers' leases.
+
+A vote is granted to a process, not to a node. Once a later process of that node has
+answered, the one that asked has ended, since a process takes its port before it does
+anything else. The vote it was granted binds no node any more, and a request of it that
+was held back in the network is refused.
 """
 
 from __future__ import annotations
@@ -32,7 +31,9 @@
 from dataclasses import dataclass
 
 CLOCK_DRIFT = 1.002
+"""Ratio by which two nodes' clocks may differ in speed."""
 MARGIN_S = 0.05
+"""Taken off each bound, for the time that passes between a check and what it allows."""
 ENDED_PROCESSES_KEPT = 64
 """Requests of processes that ended before so many others are too old to arrive."""
 
@@ -47,147 +48,173 @@
 
 
 class LeaderLease:
-    """Lease and pledges, seen from one node."""
+    """The leader's lease and the lease votes of one shard, seen from one node."""
 
     def __init__(self, peers: list[str], vote_s: float, now: float) -> None:
+        """Hold back until votes of at most ``vote_s`` seconds granted before ``now`` end."""
         self._lock = threading.Lock()
         self._peers = peers
         self._vote_s = vote_s
-        # A promise made before a restart holds until then.
+        # A vote granted before a restart holds until then.
         self._startup_hold_until = now + vote_s * CLOCK_DRIFT + MARGIN_S if peers else now
         self._peers_not_leading: set[str] = set()
-        self._vote_given: _GrantedVote | None = None
+        self._granted_vote: _GrantedVote | None = None
         self._ended_processes: deque[str] = deque(maxlen=ENDED_PROCESSES_KEPT)
         self._is_candidate = False
         self._candidacy_unresolved = False
         self._lease_until = 0.0
         self._votes_until: dict[str, float] = {}
-        # The siblings' processes, as they were heard while this node was entitled.
+        # By peer: the process that was heard last while this node was entitled.
         self._peer_processes: dict[str, str] = {}
         self._quorum_until = 0.0
         self.is_leader = False
         self.fencing_token = 0
+        """Of the term that this node leads, or led last."""
         self.highest_seen_token = 0
+        """Of any term that this node won or voted for."""
 
     # -- what this node may do ------------------------------------------------
 
     def may_write(self, now: float) -> bool:
+        """Return whether this node's lease in the key-value store certainly holds."""
         return self.is_leader and now < self._lease_until
 
     def may_answer(self, now: float) -> bool:
+        """Return whether no other node can lead: by the lease, or by a quorum of votes."""
         return self.is_leader and (now < self._lease_until or now < self._quorum_until)
 
     def valid_for_s(self, now: float) -> float:
-        """For how long this node may still answer, whatever happens to it; 0: it may not."""
+        """Return for how many seconds this node may certainly still answer; 0: it may not."""
         if not self.is_leader:
             return 0.0
         return max(0.0, self._lease_until - now, self._quorum_until - now)
 
-    # -- standing ---------------------------------------------------------------
+    # -- candidacy and term -----------------------------------------------------
 
     def peer_does_not_lead(self, peer: str) -> None:
-        """A sibling said, after our start, that it does not lead."""
+        """Record that a peer said, after this node's start, that it does not lead."""
         with self._lock:
             self._peers_not_leading.add(peer)
 
     def startup_hold_over(self, now: float) -> bool:
+        """Return whether no vote that an earlier process granted can bind this node."""
         return now >= self._startup_hold_until or self._peers_not_leading.issuperset(self._peers)
 
     def begin_candidacy(self, now: float) -> bool:
+        """Become a candidate, unless this node leads or a vote of it binds it."""
         with self._lock:
-            pledged = self._vote_given is not None and now < self._vote_given.until
-            if self.is_leader or pledged or not self.startup_hold_over(now):
+            bound = self._granted_vote is not None and now < self._granted_vote.until
+            if self.is_leader or bound or not self.startup_hold_over(now):
                 return False
             self._is_candidate = True
             return True
 
     def end_candidacy(self, resolved: bool) -> None:
-        """``settled``: no transaction of ours can elect us any more."""
+        """``resolved``: no transaction of this node can elect it any more."""
         with self._lock:
             self._is_candidate = False
             self._candidacy_unresolved = not resolved
 
     def candidacy_unresolved(self) -> bool:
+        """Return whether a transaction without an answer may yet elect this node."""
         return self._candidacy_unresolved
 
-    def won(self, token: int, lease_sent: float, ttl_s: float) -> None:
+    def won(self, fencing_token: int, lease_requested_at: float, ttl_s: float) -> None:
+        """Begin a term; the lease of ``ttl_s`` runs from when it was requested."""
         with self._lock:
             self._is_candidate = self._candidacy_unresolved = False
             self.is_leader = True
-            self.fencing_token = self.highest_seen_token = token
+            self.fencing_token = self.highest_seen_token = fencing_token
             self._votes_until.clear()
             self._peer_processes.clear()
             self._quorum_until = 0.0
-            self._lease_until = lease_sent + ttl_s / CLOCK_DRIFT - MARGIN_S
+            self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT - MARGIN_S
 
-    def renewed(self, sent: float, ttl_s: float) -> None:
+    def renewed(self, sent_at: float, ttl_s: float) -> None:
+        """Extend the lease from when its renewal was sent."""
         with self._lock:
-            self._lease_until = max(self._lease_until, sent + ttl_s / CLOCK_DRIFT - MARGIN_S)
+            self._lease_until = max(self._lease_until, sent_at + ttl_s / CLOCK_DRIFT - MARGIN_S)
 
     def lost(self) -> None:
+        """End the term."""
         with self._lock:
             self.is_leader = False
             self._lease_until = self._quorum_until = 0.0
             self._votes_until.clear()
 
-    # -- pledges --------------------------------------------------------------------
+    # -- votes of the peers, while this node leads ------------------------------
 
-    def peer_heard(self, peer: str, process: str, now: float) -> None:
-        """That process of a sibling said something; it counts if we were entitled by then."""
+    def peer_heard(self, peer: str, process_id: str, now: float) -> None:
+        """Record which process of a peer answered, if this node is entitled at ``now``."""
         with self._lock:
-            if process and self.may_answer(now):
-                self._peer_processes[peer] = process
+            if process_id and self.may_answer(now):
+                self._peer_processes[peer] = process_id
 
-    def record_vote(self, peer: str, sent: float, now: float, process: str = "") -> None:
-        """A sibling's process promised; its time runs from when it got the request."""
+    def record_vote(self, peer: str, sent_at: float, now: float, process_id: str = "") -> None:
+        """Count a vote that a peer's process granted to a request sent at ``sent_at``.
+
+        The peer counts the vote's time from when it got the request, which is later.
+        """
         with self._lock:
-            same = bool(process) and self._peer_processes.get(peer) == process
-            if not self.is_leader or not (same or self.may_answer(now)):
-                # The chain is broken: an earlier process of it may have been elected.
+            same_process = bool(process_id) and self._peer_processes.get(peer) == process_id
+            if not self.is_leader or not (same_process or self.may_answer(now)):
+                # This node's time had run out, and an earlier process of that peer may have
+                # been elected since.
                 return
-            self._votes_until[peer] = sent + self._vote_s / CLOCK_DRIFT - MARGIN_S
+            self._votes_until[peer] = sent_at + self._vote_s / CLOCK_DRIFT - MARGIN_S
             if self._votes_until.keys() >= set(self._peers):
                 self._quorum_until = min(self._votes_until.values())
 
     def release_votes(self) -> None:
-        """The lease holds again: the siblings may be told that they are free."""
+        """Stop counting on votes, so that the peers may be told that they are free."""
         with self._lock:
             self._votes_until.clear()
             self._quorum_until = 0.0
 
-    def process_ended(self, process: str) -> None:
-        """A later process of the same node has answered: nothing binds us to this one."""
-        if not process:
-            # Of an older version, which does not say.
+    # -- the vote that this node grants ------------------------------------------
+
+    def process_ended(self, process_id: str) -> None:
+        """Void the vote granted to a process, since a later one of its node has answered."""
+        if not process_id:
+            # Nodes of an older version do not say which process they are.
             return
         with self._lock:
-            self._ended_processes.append(process)
-            if self._vote_given is not None and self._vote_given.process_id == process:
-                self._vote_given.until = 0.0
+            self._ended_processes.append(process_id)
+            if self._granted_vote is not None and self._granted_vote.process_id == process_id:
+                self._granted_vote.until = 0.0
 
     def grant_vote(
-        self, leader: str, token: int, seq: int, for_s: float, now: float, process: str = ""
+        self,
+        leader: str,
+        fencing_token: int,
+        seq: int,
+        duration_s: float,
+        now: float,
+        process_id: str = "",
     ) -> bool:
-        """Promise not to stand for a while; False if that cannot be promised."""
+        """Promise a leader not to stand for ``duration_s``; return False if that is refused.
+
+        A duration of 0 releases the vote. ``seq`` counts up within a fencing token.
+        """
         with self._lock:
             if (
                 self.is_leader
                 or self._is_candidate
                 or self._candidacy_unresolved
-                or token < self.highest_seen_token
+                or fencing_token < self.highest_seen_token
+                or process_id in self._ended_processes
             ):
                 return False
-            if process in self._ended_processes:
-                return False
-            given = self._vote_given
-            if given is not None and (token, seq) <= (given.fencing_token, given.seq):
-                # Delivered late: it must not undo a newer request.
-                return False
-            if given is not None and given.leader != leader and now < given.until:
-                return False
-            # A promise outlasts its asker's count of it; none is made that a
-            # restart would not wait out.
-            until = now + min(for_s, self._vote_s) * CLOCK_DRIFT if for_s > 0 else 0.0
-            self.highest_seen_token = token
-            self._vote_given = _GrantedVote(leader, process, token, seq, until)
+            granted = self._granted_vote
+            if granted is not None:
+                if (fencing_token, seq) <= (granted.fencing_token, granted.seq):
+                    # Delivered late: it must not undo a newer request.
+                    return False
+                if granted.leader != leader and now < granted.until:
+                    return False
+            # The vote outlasts the leader's count of it, and is never longer than a restart
+            # of this node would wait out.
+            until = now + min(duration_s, self._vote_s) * CLOCK_DRIFT if duration_s > 0 else 0.0
+            self.highest_seen_token = fencing_token
+            self._granted_vote = _GrantedVote(leader, process_id, fencing_token, seq, until)
             return True
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -1,7 +1,7 @@
-"""Asks each sibling, a few times in two seconds, what it holds.
+"""Asks each peer for its status, a few times in two seconds.
 
-After a start the answers say whether a promise made before it may still bind;
-later they say where to send users and workers, and who is there at all.
+After a start the answers say whether a lease vote granted before it may still bind;
+later they say where to send users and workers, and which peers are reachable at all.
 """
 
 from __future__ import annotations
@@ -18,47 +18,55 @@
 
 log = logging.getLogger(__name__)
 
+STATUS_INTERVAL_S = 0.6
+STARTUP_STATUS_INTERVAL_S = 0.3
+"""Until no vote granted before this process's start can bind it any more."""
+STATUS_TIMEOUT_S = 0.5
 
-class PeerStatusListener(Protocol):
-    """What follows from who reaches what; see ``appleshift.connectivity``."""
-
-    def peer_status_received(self, peer: str, hello: peers.PeerStatus, now: float) -> None: ...
 
-    def peer_restarted(self, peer: str) -> None: ...
+class PeerStatusListener(Protocol):
+    """Is told what peers answer; see ``appleshift.connectivity``."""
 
+    def peer_status_received(self, peer: str, status: peers.PeerStatus, now: float) -> None:
+        """Take a peer's status, received at ``now``."""
+        ...
 
-STATUS_INTERVAL_S = 0.6
-STARTUP_STATUS_INTERVAL_S = 0.3
+    def peer_restarted(self, peer: str) -> None:
+        """Drop what the peer's earlier process said."""
+        ...
 
 
 class PeerMonitor:
-    """One routine for each sibling."""
+    """One routine for each peer."""
 
     def __init__(
         self,
-        siblings: dict[str, HttpCaller],
+        peer_clients: dict[str, HttpCaller],
         elections: Callable[[], Iterable[LeaderElection]],
         runtime: Runtime,
-        reach: PeerStatusListener,
+        connectivity: PeerStatusListener,
     ) -> None:
-        self._connectivity = reach
-        self._peer_clients = siblings
+        """Report to ``connectivity`` and to all elections that there are by then."""
+        self._connectivity = connectivity
+        self._peer_clients = peer_clients
         self._elections = elections
         self._runtime = runtime
         self._stop = runtime.event()
         self.last_status: dict[str, tuple[float, peers.PeerStatus]] = {}
-        """What each sibling said last, and when."""
+        """By peer: when it last answered, and what."""
         self.reachable_since: dict[str, float] = {}
-        """Since when it has said something without a gap."""
+        """By peer: since when it has answered without an interruption."""
         self._process_ids: dict[str, str] = {}
         self.shard_map_version = 0
-        """The newest map of shares that a sibling goes by; 0: none does."""
+        """The newest shard map that a peer uses; 0: none does."""
 
     def start(self) -> None:
+        """Start the routines."""
         for peer in self._peer_clients:
-            self._runtime.spawn(f"hello-{peer}", self._poll_peer, peer)
+            self._runtime.spawn(f"peer-status-{peer}", self._poll_peer, peer)
 
     def stop(self) -> None:
+        """End the routines."""
         self._stop.set()
 
     def _poll_peer(self, peer: str) -> None:
@@ -66,35 +74,37 @@
         while not self._stop.is_set():
             elections = list(self._elections())
             try:
-                status, body = client.request("GET", peers.PEER_STATUS_PATH, None, 0.5)
-                if status == 200:
+                http_status, body = client.request(
+                    "GET", peers.PEER_STATUS_PATH, None, STATUS_TIMEOUT_S
+                )
+                if http_status == 200:
                     self._status_received(peer, peers.decode_peer_status(body), elections)
             except (ClientError, ProtocolError) as error:
-                log.debug("hello to %s: %s", peer, error)
+                log.debug("peer status request failed peer=%s error=%s", peer, error)
                 self.reachable_since.pop(peer, None)
             now = self._runtime.now()
-            cleared = all(election.lease.startup_hold_over(now) for election in elections)
-            self._stop.wait(STATUS_INTERVAL_S if cleared else STARTUP_STATUS_INTERVAL_S)
+            startup_over = all(election.lease.startup_hold_over(now) for election in elections)
+            self._stop.wait(STATUS_INTERVAL_S if startup_over else STARTUP_STATUS_INTERVAL_S)
 
     def _status_received(
-        self, peer: str, hello: peers.PeerStatus, elections: list[LeaderElection]
+        self, peer: str, status: peers.PeerStatus, elections: list[LeaderElection]
     ) -> None:
         now = self._runtime.now()
-        self.last_status[peer] = (now, hello)
+        self.last_status[peer] = (now, status)
         self.reachable_since.setdefault(peer, now)
-        self.shard_map_version = max(self.shard_map_version, hello.shard_map_version)
-        before = self._process_ids.get(peer, hello.process_id)
-        self._process_ids[peer] = hello.process_id
-        if before != hello.process_id:
-            # It may have ended and come back between two of our questions.
-            log.info("%s was started anew", peer)
+        self.shard_map_version = max(self.shard_map_version, status.shard_map_version)
+        previous_process_id = self._process_ids.get(peer, status.process_id)
+        self._process_ids[peer] = status.process_id
+        if previous_process_id != status.process_id:
+            # It may have ended and come back between two of our requests.
+            log.info("peer restarted peer=%s process=%s", peer, status.process_id)
             self.reachable_since[peer] = now
             self._connectivity.peer_restarted(peer)
             for election in elections:
-                election.peer_restarted(peer, before)
-        self._connectivity.peer_status_received(peer, hello, now)
-        held = {each.shard: each for each in hello.held_shards}
-        if hello.leading:
-            held[0] = peers.HeldShard(0, hello.fencing_token, hello.entitled)
+                election.peer_restarted(peer, previous_process_id)
+        self._connectivity.peer_status_received(peer, status, now)
+        held_shards = {held.shard: held for held in status.held_shards}
+        if status.leading:
+            held_shards[0] = peers.HeldShard(0, status.fencing_token, status.entitled)
         for election in elections:
-            election.peer_status_received(peer, hello, held.get(election.shard))
+            election.peer_status_received(peer, status, held_shards.get(election.shard))
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -20,12 +20,13 @@
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
 from appleshift.leader_election.peer_monitor import PeerMonitor
+from appleshift.node_context import NodeContext
 from appleshift.node_limits.node_limits import POOL_THREADS, LoadMonitor, NodeLimits
 from appleshift.protocol import peers
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings, split_address
 from appleshift.scheduler.scheduler import Scheduler
-from appleshift.shard_replica import NodeContext, ShardReplica
+from appleshift.shard_replica import ShardReplica
 from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import HttpCaller, HttpClient
 from appleshift.transport.concurrency import Runtime, ThreadRuntime
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -1,11 +1,10 @@
-"""One share at one node: whether it holds it, and the core while it does."""
+"""One shard at one node: its election and, while the node holds it, its scheduler."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any
 
 from appleshift.contracts import events
 from appleshift.contracts.actions import (
@@ -17,106 +16,63 @@
     Reply,
     SendCommands,
 )
-from appleshift.contracts.interfaces import ShardingView
-from appleshift.dispatch.outbound_calls import CloudCalls, WorkerCalls
-from appleshift.leader_election.election import LeaderElection, LeaderTerm
+from appleshift.leader_election.dependencies import CandidacyConditions, ElectionDependencies
+from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
+from appleshift.leader_election.leader_term import LeaderTerm
 from appleshift.leader_election.log_committer import LogCommitter
+from appleshift.node_context import NodeContext
 from appleshift.objectives.achieved import AchievedObjectives
 from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol import users
-from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.settings import Settings
-from appleshift.protocol.wire import ProtocolError
 from appleshift.protocol.workers import HeartbeatHeader
 from appleshift.scheduler.scheduler import Scheduler
-from appleshift.state.cluster_state import ClusterState
-from appleshift.storage.key_value_store import (
-    CompareFailedError,
-    KeyValueStore,
-    StoreError,
-    recover,
-)
-from appleshift.storage.records import LogReplayer, RecordFollower
-from appleshift.storage.write_ahead_log import WriteAheadLog, shard_prefix
-from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import Runtime
-
-if TYPE_CHECKING:
-    from appleshift.counted_resources.license_calls import LicenseServerCalls
+from appleshift.shard_event_handlers import handle_request, handle_term_event
+from appleshift.storage.key_value_store import CompareFailedError
+from appleshift.term_recovery import recover_term, start_scheduler
 
 log = logging.getLogger(__name__)
 
-DRAIN_S = 0.5
-"""So long may what was accepted take to become durable before a share is left."""
-
-
-class ShardCoordination(Protocol):
-    """The map of shares, and calls between their holders; see ``appleshift.sharding``."""
-
-    def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> ShardingView | None:
-        """What a share's new core has to do with the others; None with one share.
-
-        Raises StoreError, ClientError or ProtocolError to be asked again, and
-        TxnFailedError if the term is over.
-        """
-        ...
-
-    def call_shard(self, action: CallShard, term: Any) -> None: ...
-
-
-@dataclass
-class NodeContext:
-    """What all shares of a node have in common."""
-
-    settings: Settings
-    operator: OperatorSettings
-    runtime: Runtime
-    store: KeyValueStore
-    peer_clients: dict[str, HttpCaller]
-    connect: Callable[[tuple[str, int]], HttpCaller]
-    post: Callable[[events.Event], None]
-    process_id: str
-    workers: WorkerCalls
-    cloud: CloudCalls
-    stop: Any
-    shard_map_follower: ShardCoordination | None = None
-    """The map of shares, once there is one or one is wanted."""
-    candidacy_delay_s: Callable[[], float] = float
-    """For how long this node leaves free keys to others that reach more."""
-    license_servers: LicenseServerCalls | None = None
-    """Made when the first licence server is to be asked."""
+DRAIN_TIMEOUT_S = 0.5
+"""For so long a hand-over waits until accepted requests are durable."""
+NOT_HELD_RETRY_AFTER_S = 1
 
 
 class ShardReplica:
-    """Owned by the core's routine, but for ``election``, ``leadership`` and ``committer``."""
+    """Used by the schedulers' routine, but for ``election``, ``lease`` and ``committer``."""
 
     def __init__(
         self,
         context: NodeContext,
-        share: int = 0,
-        guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
-        hold_back: Callable[[], float] = float,
+        shard: int = 0,
+        extra_guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
+        candidacy_delay_s: Callable[[], float] = float,
     ) -> None:
+        """See ``CandidacyConditions`` for the callables, which shards but the first use."""
         self.context = context
-        self.shard = share
+        self.shard = shard
         runtime, operator = context.runtime, context.operator
         self.lease = LeaderLease([*context.peer_clients], operator.pledge_s, runtime.now())
         self.election = LeaderElection(
-            context.settings.name,
-            context.store,
-            context.peer_clients,
-            self.lease,
-            operator,
+            ElectionDependencies(
+                node_name=context.settings.name,
+                store=context.store,
+                peer_clients=context.peer_clients,
+                lease=self.lease,
+                operator=operator,
+                runtime=runtime,
+                term_id_prefix=f"{context.process_id}.s{shard}" if shard else context.process_id,
+                process_id=context.process_id,
+                shard=shard,
+            ),
             on_won=lambda term: context.post(events.ElectionWon(term)),
-            on_lost=lambda: context.post(events.LeadershipLost(share)),
-            process_mark=context.process_id if not share else f"{context.process_id}.s{share}",
-            runtime=runtime,
-            shard=share,
-            extra_guards=guards,
-            # Who holds further shares is the leader's to say.
-            candidacy_delay_s=hold_back if share else lambda: context.candidacy_delay_s(),
-            process_id=context.process_id,
+            on_lost=lambda: context.post(events.LeadershipLost(shard)),
+            conditions=CandidacyConditions(
+                extra_guards,
+                # The leader assigns the further shards to nodes. The node sets the delay
+                # of the first only after it has made this replica.
+                candidacy_delay_s if shard else lambda: context.candidacy_delay_s(),
+            ),
         )
         self.scheduler: Scheduler | None = None
         self.achieved_objectives: AchievedObjectives | None = None
@@ -126,104 +82,67 @@
             context.post,
             lambda: self.term,
             runtime,
-            f"commit-{share}" if share else "commit",
+            f"commit-{shard}" if shard else "commit",
         )
         self._draining_since: float | None = None
 
     def start(self) -> None:
+        """Start the routines of the election and of the log's commits."""
         self.committer.start()
         self.election.start()
 
     def stop(self) -> None:
+        """Give up the shard at once, and end the routines."""
         self.election.stop()
         self.committer.stop()
 
     # -- events ---------------------------------------------------------------------
 
     def handle(self, event: events.Event) -> None:
-        if isinstance(event, events.HandOverRequested):
-            self.hand_over()
-        elif isinstance(event, events.ApiRequest):
-            self._handle_request(event)
-        elif isinstance(event, events.ElectionWon):
-            self._begin_term(event.term)
-        elif isinstance(event, events.LeadershipLost):
-            self.end_term()
-        elif event.term is self.term and self.scheduler is not None:
-            # What comes from an earlier term is void.
-            self._handle_term_event(self.scheduler, event)
-
-    def _handle_request(self, event: events.ApiRequest) -> None:
+        """Handle an event that is for this shard, or for all."""
+        match event:
+            case events.HandOverRequested():
+                self.hand_over()
+            case events.ApiRequest():
+                self._handle_request(event)
+            case events.ElectionWon():
+                self._begin_term(event.term)
+            case events.LeadershipLost():
+                self.end_term()
+            case events.TermEvent():
+                self._handle_term_event(event)
+
+    def _handle_request(self, request: events.ApiRequest) -> None:
         scheduler = self.scheduler
         if scheduler is None:
-            event.reply_to.put((503, users.error_body("nobody holds this share yet"), 1))
+            body = users.error_body("nobody holds this share yet")
+            request.reply_to.put((503, body, NOT_HELD_RETRY_AFTER_S))
             return
         scheduler.now = self.context.runtime.now()
-        if isinstance(event, events.HeartbeatReceived):
-            scheduler.heartbeat_received(event.heartbeat, event.reply_to, event.tasks)
-        elif isinstance(event, events.SubmitJob):
-            wall = self.context.runtime.wall_time()
-            scheduler.job_requests.submit(event.spec, event.reply_to, wall, event.forwarded_by_home)
-        elif isinstance(event, events.GetJobStatus):
-            scheduler.job_requests.status(
-                event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
-            )
-        elif isinstance(event, events.CancelJob):
-            scheduler.job_requests.cancel(
-                event.job_id, event.reply_to, event.forwarded_by_home, event.shard_map_version
-            )
-        elif isinstance(event, events.GetCountedResources):
-            scheduler.reply(
-                event.reply_to,
-                *_counted_resources_reply(scheduler.counted_resources, event.after, scheduler.now),
-            )
-        elif isinstance(event, events.ShardRequestReceived) and scheduler.sharding is not None:
-            scheduler.sharding.request_received(event.message, event.reply_to)
-        else:
-            scheduler.reply_unavailable(event.reply_to)
+        handle_request(scheduler, request, self.context.runtime.wall_time)
 
-    def _handle_term_event(self, scheduler: Scheduler, event: events.TermEvent) -> None:
+    def _handle_term_event(self, event: events.TermEvent) -> None:
+        scheduler = self.scheduler
+        if event.term is not self.term or scheduler is None:
+            # Events of an earlier term are void.
+            return
         scheduler.now = self.context.runtime.now()
-        if isinstance(event, events.CommitSucceeded):
-            scheduler.commit_succeeded(event.revision)
-        elif isinstance(event, events.CommandsSent):
-            scheduler.commands.commands_sent(
-                event.machine, event.agent_epoch, event.starts, event.outcome, event.heartbeat
-            )
-        elif isinstance(event, events.ProbeAnswered):
-            scheduler.probe_answered(event.machine, event.heartbeat)
-        elif isinstance(event, events.CommitStalled):
-            scheduler.commit_stalled()
-        elif isinstance(event, events.Fenced):
+        if isinstance(event, events.Fenced):
             self.end_term()
             self.election.step_down()
-        elif isinstance(event, events.MachineTypesListed):
-            scheduler.fleet.set_machine_types(event.types)
-        elif isinstance(event, events.MachinesListed):
-            scheduler.fleet.machines_listed(event.machines, event.complete)
-        elif isinstance(event, events.RentalAnswered):
-            scheduler.fleet.rental_answered(event.request, event.machines, event.refused)
-        elif isinstance(event, events.DeletionAnswered):
-            scheduler.deletion_answered(event.machines, event.ok)
-        elif isinstance(event, events.ShardReplyReceived) and scheduler.sharding is not None:
-            scheduler.sharding.reply_received(event.target_shard, event.reply)
-        elif (
-            isinstance(event, events.LicenseServerAnswered)
-            and scheduler.counted_resources is not None
-        ):
-            told = scheduler.counted_resources.license_server_answered(
-                event.resource, event.serial, event.reply, scheduler.now
-            )
-            scheduler.placement_needed = told or scheduler.placement_needed
+        else:
+            handle_term_event(scheduler, event)
 
-    # -- what it decides ------------------------------------------------------------
+    # -- rounds of the scheduler ----------------------------------------------------
 
     def is_busy(self) -> bool:
+        """Return whether the next round has work that need not wait for an event."""
         return self.scheduler is not None and (
             self.scheduler.placement_needed or self.scheduler.write_ahead_log.backlog() > 0
         )
 
     def run_round(self) -> None:
+        """Let the scheduler decide, commit what it records and carry out its actions."""
         scheduler, runtime = self.scheduler, self.context.runtime
         if scheduler is None:
             return
@@ -232,34 +151,35 @@
         if self.achieved_objectives is not None:
             self.achieved_objectives.step(now, runtime.wall_time())
         if self.lease.may_write(now):
-            txn = scheduler.write_ahead_log.next_transaction(now)
-            if txn is not None:
-                self.committer.send(txn, self.term)
+            transaction = scheduler.write_ahead_log.next_transaction(now)
+            if transaction is not None:
+                self.committer.send(transaction, self.term)
         if scheduler.counted_resources is not None and self.lease.may_answer(now):
             self._call_license_servers(scheduler.counted_resources, now)
         for action in scheduler.take_actions():
-            self._execute(scheduler, action)
+            self._execute(action)
         if self._draining_since is not None and (
-            scheduler.write_ahead_log.is_idle() or now - self._draining_since > DRAIN_S
+            scheduler.write_ahead_log.is_idle() or now - self._draining_since > DRAIN_TIMEOUT_S
         ):
             self._draining_since = None
             self.election.hand_over()
 
     def hand_over(self) -> None:
-        """Leave the share in order: what was accepted becomes durable, nothing new is."""
+        """Begin to leave the shard: accepted requests become durable, no more are accepted."""
         if self.scheduler is not None and not self.scheduler.draining:
-            log.info("handing over share %d", self.shard)
+            log.info("handing over shard=%d", self.shard)
             self.scheduler.draining = True
             self._draining_since = self.context.runtime.now()
 
-    def _is_entitled(self, term: LeaderTerm | None) -> Callable[[], bool]:
-        """Asked again right before something changes outside."""
+    def _entitlement_check(self, term: LeaderTerm | None) -> Callable[[], bool]:
+        """Return what is asked again right before a call that changes something outside."""
         return lambda: self.term is term and self.lease.may_answer(self.context.runtime.now())
 
-    def _call_license_servers(self, seats: CountedResources, now: float) -> None:
+    def _call_license_servers(self, resources: CountedResources, now: float) -> None:
         context = self.context
-        for ask in seats.reservation_requests(now):
+        for request in resources.reservation_requests(now):
             if context.license_servers is None:
+                # Loaded only where a licence server is to be asked.
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
                 context.license_servers = LicenseServerCalls(
@@ -268,121 +188,69 @@
                     context.runtime,
                     lambda: self.lease.may_answer(context.runtime.now()),
                 )
-            context.license_servers.send(ask, self.term)
+            context.license_servers.send(request, self.term)
 
-    def _execute(self, scheduler: Scheduler, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         context, term = self.context, self.term
-        if isinstance(action, Reply):
-            action.reply_to.put((action.status, action.body, action.retry_after))
-        elif isinstance(action, SendCommands):
-            context.workers.send_commands(action, term)
-        elif isinstance(action, ProbeMachine):
-            context.workers.probe(action, term)
-        elif isinstance(action, RentMachines):
-            context.cloud.rent(action, term, self._is_entitled(term))
-        elif isinstance(action, DeleteMachines):
-            context.cloud.delete(action, term, self._is_entitled(term))
-        elif isinstance(action, CallShard) and context.shard_map_follower is not None:
-            context.shard_map_follower.call_shard(action, term)
-
-    # -- terms --------------------------------------------------------------------------
+        match action:
+            case Reply():
+                action.reply_to.put((action.status, action.body, action.retry_after))
+            case SendCommands():
+                context.workers.send_commands(action, term)
+            case ProbeMachine():
+                context.workers.probe(action, term)
+            case RentMachines():
+                context.cloud.rent(action, term, self._entitlement_check(term))
+            case DeleteMachines():
+                context.cloud.delete(action, term, self._entitlement_check(term))
+            case CallShard() if context.shard_map_follower is not None:
+                context.shard_map_follower.call_shard(action, term)
+
+    # -- terms ----------------------------------------------------------------------
 
     def _begin_term(self, term: LeaderTerm) -> None:
-        """Recover what is durable; only then does anyone get an answer."""
-        context = self.context
-        deployment = context.settings.deployment
-        began = context.runtime.now()
-        prefix = shard_prefix(self.shard)
-        while True:
-            if context.stop.is_set() or not self.lease.is_leader:
-                return
-            if self.lease.fencing_token != term.fencing_token:
-                return
-            replayer = LogReplayer(
-                ClusterState(deployment.zones, deployment.teams), _make_audit_log
-            )
-            try:
-                recovered = recover(context.store, replayer, prefix)
-                sharing = None
-                if context.shard_map_follower is not None:
-                    sharing = context.shard_map_follower.sharding_for(term, replayer)
-                break
-            except CompareFailedError as error:
-                log.info("deposed in recovery: guards failed on %s", error)
-                self.election.step_down()
-                return
-            except (StoreError, ClientError, ProtocolError) as error:
-                log.info("recovery: %s", error)
-                context.stop.wait(0.2)
-        now = context.runtime.now()
-        limits = deployment.state
-        parts = 1 if sharing is None else sharing.shard_count
-        write_ahead_log = WriteAheadLog(
-            leader_key=self.election.key,
-            leader_version=term.key_version,
-            term_id=term.term_id,
-            write_rps=max(1.0, limits.write_rps * context.operator.write_share / parts),
-            value_bytes=int(limits.value_kb * 1024),
-            max_transaction_ops=limits.txn_ops,
-            header=recovered.header,
-            header_version=recovered.header_version,
-            next_entry=recovered.next_entry,
-            log_bytes=recovered.log_bytes,
-            now=now,
-            prefix=prefix,
-            extra_guards=term.extra_guards,
-        )
-        write_ahead_log.remove_keys(recovered.orphaned_keys)
+        """Recover what is durable; only then is any request answered."""
+        began = self.context.runtime.now()
+        try:
+            recovered = recover_term(self.context, term, lambda: self._may_recover(term))
+        except CompareFailedError as error:
+            log.info("recovery fenced shard=%d failed_guards=%s", self.shard, error)
+            self.election.step_down()
+            return
+        if recovered is None:
+            return
+        now = self.context.runtime.now()
         self._draining_since = None
-        self.scheduler = Scheduler(
-            context.settings,
-            context.operator,
-            self.lease,
-            term.fencing_token,
-            replayer,
-            write_ahead_log,
-            context.runtime.now,
-            context.runtime.wall_time(),
-            self._counted_resources(replayer, write_ahead_log, term),
-            sharing,
-        )
+        self.scheduler = start_scheduler(self.context, self.lease, term, recovered, now)
         self.achieved_objectives = AchievedObjectives(
-            self.scheduler.cluster, self.scheduler.objectives, now, context.runtime.wall_time()
+            self.scheduler.cluster,
+            self.scheduler.objectives,
+            now,
+            self.context.runtime.wall_time(),
         )
         self.term = term
         if not self.shard:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
-            context.cloud.set_term(term)
+            self.context.cloud.set_term(term)
+        cluster = recovered.replayer.cluster
         log.info(
-            "leading%s with token %d: %d jobs, %d machines, recovered in %.0f ms",
-            f" share {self.shard}" if self.shard else "",
+            "term started shard=%d token=%d jobs=%d machines=%d recovery_ms=%.0f",
+            self.shard,
             term.fencing_token,
-            len(replayer.cluster.jobs),
-            len(replayer.cluster.machines),
+            len(cluster.jobs),
+            len(cluster.machines),
             (now - began) * 1000,
         )
 
-    def _counted_resources(
-        self, replayer: LogReplayer, write_ahead_log: WriteAheadLog, term: LeaderTerm
-    ) -> CountedResources | None:
-        """Counted resources, if there are any: in a file of ours or in the log.
-
-        All of them are counted in the first share, which decides for the jobs
-        that ask for any.
-        """
-        if self.shard or (not self.context.operator.seats and not replayer.counted_resources):
-            return None
-        from appleshift.counted_resources.scheduler_part import build
-
-        return build(
-            self.context.operator,
-            replayer,
-            write_ahead_log,
-            term.fencing_token,
-            self.context.runtime.wall_time(),
+    def _may_recover(self, term: LeaderTerm) -> bool:
+        return (
+            not self.context.stop.is_set()
+            and self.lease.is_leader
+            and self.lease.fencing_token == term.fencing_token
         )
 
     def end_term(self) -> None:
+        """Drop the scheduler; requests that wait for an answer get its last replies."""
         scheduler = self.scheduler
         self.scheduler = self.achieved_objectives = None
         self.term = None
@@ -394,49 +262,40 @@
             scheduler.end_term()
             for action in scheduler.take_actions():
                 if isinstance(action, Reply):
-                    action.reply_to.put((action.status, action.body, action.retry_after))
+                    self._execute(action)
+
+    # -- asked by the routines of connections ---------------------------------------
 
     def unchanged_response(self, heartbeat: HeartbeatHeader, now: float) -> bytes | None:
-        """The answer to a report that says nothing new; asked by connections' routines."""
+        """Return the response to a heartbeat that reports no change.
+
+        None if the scheduler must see the heartbeat, or this node may not answer it.
+        """
         scheduler = self.scheduler
         if scheduler is None or not self.lease.may_answer(now):
             return None
         return scheduler.fast_path.response_to(heartbeat, now)
 
     def has_machine(self, machine: str) -> bool:
-        """Is this the share that a machine is in, whatever its name says? Asked by the
-        routines of connections: a wrong answer costs a moment."""
+        """Return whether a machine is in this shard, whatever its name says.
+
+        Reads the scheduler's state from other routines: a wrong answer costs a moment.
+        """
         scheduler = self.scheduler
         found = None if scheduler is None else scheduler.cluster.machine(machine)
         return found is not None and not found.in_other_shard
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """What users have been told of a job at least, as far as this node knows."""
+        """Return the latest state of a job that this node knows a user has been told."""
         scheduler = self.scheduler
         return None if scheduler is None else scheduler.job_requests.last_reported_state(job_id)
 
     def view(self) -> dict[str, Any]:
+        """Return what operators see of this shard, in the form of the API's answer."""
         scheduler = self.scheduler
         if scheduler is None:
             return {"held_here": False}
-        own = sum(
-            1 for machine in list(scheduler.cluster.machines.values()) if not machine.in_other_shard
-        )
-        found = {"held_here": True, "jobs": len(scheduler.cluster.jobs), "machines": own}
-        return found if scheduler.sharding is None else {**found, **scheduler.sharding.view()}
-
-
-def _make_audit_log(written: int) -> RecordFollower:
-    """The log speaks of counted resources: their audit is followed from there."""
-    from appleshift.counted_resources.audit_log import AuditLog as Audit
-
-    return Audit(written)
-
-
-def _counted_resources_reply(
-    seats: CountedResources | None, after: int | None, now: float
-) -> tuple[int, dict[str, Any]]:
-    """Counted resources as operators see them; with a number, the audit after it."""
-    if seats is None:
-        return 404, users.error_body("no counted resources are defined")
-    return 200, seats.view(now) if after is None else seats.history(after)
+        machines = list(scheduler.cluster.machines.values())
+        own_machines = sum(1 for machine in machines if not machine.in_other_shard)
+        view = {"held_here": True, "jobs": len(scheduler.cluster.jobs), "machines": own_machines}
+        return view if scheduler.sharding is None else {**view, **scheduler.sharding.view()}
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -23,8 +23,10 @@
 
 from appleshift.contracts import events
 from appleshift.contracts.actions import CallShard
-from appleshift.leader_election.election import PEER_STATUS_VALID_S, LeaderTerm
+from appleshift.leader_election.leader_term import LeaderTerm
+from appleshift.leader_election.leader_tracker import PEER_STATUS_VALID_S
 from appleshift.leader_election.peer_monitor import PeerMonitor
+from appleshift.node_context import NodeContext
 from appleshift.node_limits.node_limits import NodeLimits
 from appleshift.protocol import kv, peers
 from appleshift.protocol.sharding import (
@@ -37,7 +39,7 @@
     decode_shard_map,
 )
 from appleshift.protocol.wire import ProtocolError, encode
-from appleshift.shard_replica import NodeContext, ShardReplica
+from appleshift.shard_replica import ShardReplica
 from appleshift.sharding import shard_assigner
 from appleshift.sharding.shard_assigner import ControllerLoad, ShardAssigner
 from appleshift.sharding.shard_map import ShardMap, new_epoch
--- /dev/null
+++ b/appleshift/term_recovery.py
@@ -0,0 +1,136 @@
+"""The start of a term: reads a shard's durable state and builds its scheduler from it."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.leader_election.leader_term import LeaderTerm, holder_key
+from appleshift.node_context import NodeContext
+from appleshift.placement.counted_resources import CountedResources
+from appleshift.protocol.wire import ProtocolError
+from appleshift.scheduler.scheduler import Scheduler
+from appleshift.state.cluster_state import ClusterState
+from appleshift.storage.key_value_store import RecoveredLog, StoreError, recover
+from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.write_ahead_log import WriteAheadLog, shard_prefix
+from appleshift.transport.client import ClientError
+
+log = logging.getLogger(__name__)
+
+RETRY_S = 0.2
+MIN_WRITE_RPS = 1.0
+BYTES_PER_KB = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class RecoveredTerm:
+    """What was durable when a term began."""
+
+    replayer: LogReplayer
+    recovered_log: RecoveredLog
+    sharding: ShardingView | None
+
+
+def recover_term(
+    context: NodeContext, term: LeaderTerm, is_current: Callable[[], bool]
+) -> RecoveredTerm | None:
+    """Read what is durable, again and again until it succeeds; None once the term is over.
+
+    Raises CompareFailedError if the shard map shows that the term is over.
+    """
+    deployment = context.settings.deployment
+    prefix = shard_prefix(term.shard)
+    while is_current():
+        replayer = LogReplayer(ClusterState(deployment.zones, deployment.teams), _make_audit_log)
+        try:
+            recovered_log = recover(context.store, replayer, prefix)
+            sharding = None
+            if context.shard_map_follower is not None:
+                sharding = context.shard_map_follower.sharding_for(term, replayer)
+        except (StoreError, ClientError, ProtocolError) as error:
+            log.info("recovery failed, retrying shard=%d error=%s", term.shard, error)
+            context.stop.wait(RETRY_S)
+        else:
+            return RecoveredTerm(replayer, recovered_log, sharding)
+    return None
+
+
+def start_scheduler(
+    context: NodeContext,
+    lease: LeaseHolder,
+    term: LeaderTerm,
+    recovered: RecoveredTerm,
+    now: float,
+) -> Scheduler:
+    """Build the scheduler of a term from what was recovered."""
+    write_ahead_log = _resume_log(context, term, recovered, now)
+    return Scheduler(
+        context.settings,
+        context.operator,
+        lease,
+        term.fencing_token,
+        recovered.replayer,
+        write_ahead_log,
+        context.runtime.now,
+        context.runtime.wall_time(),
+        _counted_resources(context, term, recovered.replayer, write_ahead_log),
+        recovered.sharding,
+    )
+
+
+def _resume_log(
+    context: NodeContext, term: LeaderTerm, recovered: RecoveredTerm, now: float
+) -> WriteAheadLog:
+    limits = context.settings.deployment.state
+    shards = 1 if recovered.sharding is None else recovered.sharding.shard_count
+    write_rps = limits.write_rps * context.operator.write_share / shards
+    recovered_log = recovered.recovered_log
+    write_ahead_log = WriteAheadLog(
+        leader_key=holder_key(term.shard),
+        leader_version=term.key_version,
+        term_id=term.term_id,
+        write_rps=max(MIN_WRITE_RPS, write_rps),
+        value_bytes=int(limits.value_kb * BYTES_PER_KB),
+        max_transaction_ops=limits.txn_ops,
+        header=recovered_log.header,
+        header_version=recovered_log.header_version,
+        next_entry=recovered_log.next_entry,
+        log_bytes=recovered_log.log_bytes,
+        now=now,
+        prefix=shard_prefix(term.shard),
+        extra_guards=term.extra_guards,
+    )
+    write_ahead_log.remove_keys(recovered_log.orphaned_keys)
+    return write_ahead_log
+
+
+def _counted_resources(
+    context: NodeContext, term: LeaderTerm, replayer: LogReplayer, write_ahead_log: WriteAheadLog
+) -> CountedResources | None:
+    """Counted resources, if the operators' file or the log defines any.
+
+    All of them are counted in the first shard, which decides for the jobs that ask for any.
+    """
+    if term.shard or (not context.operator.seats and not replayer.counted_resources):
+        return None
+    # Loaded only where resources are counted.
+    from appleshift.counted_resources.scheduler_part import build
+
+    return build(
+        context.operator,
+        replayer,
+        write_ahead_log,
+        term.fencing_token,
+        context.runtime.wall_time(),
+    )
+
+
+def _make_audit_log(written_entries: int) -> RecordFollower:
+    """Follow the audit of counted resources from where their records begin in the log."""
+    # Loaded only where resources are counted.
+    from appleshift.counted_resources.audit_log import AuditLog
+
+    return AuditLog(written_entries)
