--- a/days/reading.py
+++ b/days/reading.py
@@ -12,7 +12,7 @@
 LEAST = 0.5
 LINE = re.compile(r"^\s*(\d+\.\d+) (\S+) (.*)$")
 TAKEN = re.compile(r"first submission of this term is durable")
-LED = re.compile(r"leading with token (\d+)")
+LED = re.compile(r"term started shard=0 token=(\d+)")
 THREADS = re.compile(r"load: .* (\d+) threads")
 CRASHES = re.compile(r"^(\S+) crashes$")
 FIGURE = re.compile(r"^(\S+)\s+\d+\s+(\d\.\d+)\s+\d+/\d+")
