--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -62,8 +62,10 @@
     unsaved_final_states: list[tuple[str, int]]
 
     def append_records(
-        self, some: list[Record], then: Callable[[], None] | None = None
-    ) -> None: ...
+        self, records: list[Record], on_durable: Callable[[], None] | None = None
+    ) -> None:
+        """Append records; ``on_durable`` runs once all of them are durable."""
+        ...
 
     @property
     def liveness(self) -> CommandResultListener: ...
--- /dev/null
+++ b/appleshift/scheduler/dependencies.py
@@ -0,0 +1,36 @@
+"""What a scheduler is built from when a node wins an election."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.placement.counted_resources import CountedResources
+from appleshift.protocol.operator import OperatorSettings
+from appleshift.protocol.settings import Settings
+from appleshift.storage.records import LogReplayer
+from appleshift.storage.write_ahead_log import WriteAheadLog
+
+
+@dataclass(frozen=True, slots=True)
+class SchedulerDependencies:
+    """Settings, recovered state and services of one leader term."""
+
+    settings: Settings
+    operator: OperatorSettings
+    lease: LeaseHolder
+    """Tells whether this node may write and answer at a given time."""
+    fencing_token: int
+    """Grows with every term; workers refuse commands with a lower one."""
+    replayer: LogReplayer
+    """The state recovered from the snapshot and the write-ahead log."""
+    write_ahead_log: WriteAheadLog
+    clock: Callable[[], float]
+    """Monotonic time in seconds."""
+    wall_time: float
+    """Wall-clock time at which the term begins, in seconds since the epoch."""
+    counted_resources: CountedResources | None = None
+    """None: no counted resources are defined, or another shard counts them."""
+    sharding: ShardingView | None = None
+    """None: the cluster has a single shard."""
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -29,6 +29,7 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.wire import ProtocolError
 from appleshift.protocol.workers import HeartbeatHeader
+from appleshift.scheduler.dependencies import SchedulerDependencies
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import (
@@ -335,16 +336,18 @@
         write_ahead_log.remove_keys(recovered.orphaned_keys)
         self._draining_since = None
         self.scheduler = Scheduler(
-            context.settings,
-            context.operator,
-            self.lease,
-            term.fencing_token,
-            replayer,
-            write_ahead_log,
-            context.runtime.now,
-            context.runtime.wall_time(),
-            self._counted_resources(replayer, write_ahead_log, term),
-            sharing,
+            SchedulerDependencies(
+                settings=context.settings,
+                operator=context.operator,
+                lease=self.lease,
+                fencing_token=term.fencing_token,
+                replayer=replayer,
+                write_ahead_log=write_ahead_log,
+                clock=context.runtime.now,
+                wall_time=context.runtime.wall_time(),
+                counted_resources=self._counted_resources(replayer, write_ahead_log, term),
+                sharding=sharing,
+            )
         )
         self.achieved_objectives = AchievedObjectives(
             self.scheduler.cluster, self.scheduler.objectives, now, context.runtime.wall_time()
