--- a/appleshift/contracts/__init__.py
+++ b/appleshift/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts of the scheduler agree on: events in, actions out, and their interfaces."""
+"""What the parts of a node agree on: events in, actions out, and their interfaces."""
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -1,6 +1,6 @@
-"""What the parts of the core may use of it and of each other.
+"""What the parts of the scheduler may use of it and of each other.
 
-The core owns its parts and hands itself to them. They depend on these small
+The scheduler owns its parts and passes itself to them. They depend on these small
 protocols rather than on its class, so that imports go one way.
 """
 
@@ -19,31 +19,33 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Heartbeat
-from appleshift.state.cluster_state import ClusterState, Machine, TaskRun
+from appleshift.state.cluster_state import ClusterState, Job, Machine, TaskRun
 from appleshift.storage.records import Record
 from appleshift.storage.write_ahead_log import WriteAheadLog
 
 
 class LeaseHolder(Protocol):
-    """What this node may do right now, by its own clock."""
+    """What this node may do as a leader right now, by its own clock."""
 
     def may_write(self, now: float) -> bool:
-        """The leadership lease certainly holds."""
+        """Tell whether the leadership lease certainly holds."""
         ...
 
     def may_answer(self, now: float) -> bool:
-        """No other node can lead: by the lease, or by every sibling's pledge."""
+        """Tell whether no other node can lead: by the lease, or by every peer's vote."""
         ...
 
 
 class CommandResultListener(Protocol):
-    """What is known of which machines hear; see ``fleet/hearing.py``."""
+    """What is known of which machines can be reached; see ``machines/liveness.py``."""
 
-    def command_result(self, machine: Machine, reached: bool) -> None: ...
+    def command_result(self, machine: Machine, reached: bool) -> None:
+        """Note whether a worker answered a direct command or a probe."""
+        ...
 
 
 class SchedulerView(Protocol):
-    """The core of one term, as its parts see it."""
+    """The scheduler of one term as its parts see it."""
 
     settings: Settings
     operator: OperatorSettings
@@ -51,15 +53,20 @@
     cluster: ClusterState
     write_ahead_log: WriteAheadLog
     actions: deque[Action]
+    """Decided in this step and not yet taken by the shard replica."""
     objectives: Objectives
     counted_resources: CountedResources | None
     sharding: ShardingView | None
     clock: Callable[[], float]
+    """Monotonic time in seconds; only to measure how long work takes."""
     now: float
+    """Monotonic time of the current step, in seconds; decisions go by it."""
     fencing_token: int
     worker_lease_s: float
+    """A worker's lease as the scheduler counts it: with clock drift and a margin."""
     placement_needed: bool
     unsaved_final_states: list[tuple[str, int]]
+    """Ids and final states of jobs that no snapshot holds yet."""
 
     def append_records(
         self, records: list[Record], on_durable: Callable[[], None] | None = None
@@ -68,142 +75,192 @@
         ...
 
     @property
-    def liveness(self) -> CommandResultListener: ...
+    def liveness(self) -> CommandResultListener:
+        """What is known of which machines can be reached."""
+        ...
 
-    def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None: ...
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None:
+        """Apply a heartbeat, unless a newer one of the same agent epoch was applied."""
+        ...
 
-    def fencing_token_for(self, machine: Machine) -> int: ...
+    def fencing_token_for(self, machine: Machine) -> int:
+        """Return the token for a machine's worker: never less than another shard gave it."""
+        ...
 
-    def stop_run(self, run: TaskRun, grace: float, reason: str) -> None: ...
+    def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
+        """Order a task to stop within ``grace`` seconds; a shorter grace replaces a longer."""
+        ...
 
-    def stop_gang(self, job: Any, grace: float, reason: str) -> None: ...
+    def stop_gang(self, job: Job, grace: float, reason: str) -> None:
+        """Order all tasks of a gang to stop in the same moment."""
+        ...
 
-    def delete_machines(self, machines: list[Machine]) -> None: ...
+    def delete_machines(self, machines: list[Machine]) -> None:
+        """Delete rented machines; those of one step share a call."""
+        ...
 
 
 class ShardingView(Protocol):
-    """What a share has to do with the others, if there are several.
+    """A shard's dealings with the others, if there are several.
 
     ``appleshift.sharding`` implements it; nothing here loads it.
     """
 
     shard: int
     shard_count: int
-    """How many there are."""
 
     def attach(self, scheduler: Any) -> None:
-        """From now on this is the core of the share."""
+        """Work for this scheduler of the shard, a ``ShardScheduler``, from now on."""
         ...
 
     def owns_machine(self, machine: str, kind: str) -> bool:
-        """Does a machine of that name and type belong to this share?"""
+        """Tell whether a machine of that name and type belongs to this shard."""
         ...
 
     def is_home(self, job_id: str) -> bool:
-        """Does a new job of that id belong here?"""
+        """Tell whether a new job of that id belongs here."""
         ...
 
     def is_current_map(self, job_id: str, map_version: int) -> bool:
-        """Does who asks by that version of the map ask in the right places?"""
+        """Tell whether that version of the shard map routes the job's requests rightly."""
         ...
 
     def deciding_shard(self, spec: Submission) -> int:
-        """The share that decides for a job submitted here."""
+        """Return the shard that decides for a job submitted here."""
         ...
 
-    def partition_array(self, job: Any) -> list[Record]:
-        """Send part of a large array away; what has to be written down for it."""
+    def partition_array(self, job: Job) -> list[Record]:
+        """Send part of a large array to other shards; return the records of that."""
         ...
 
-    def cancel_partitioned(self, job: Any, reply_to: Any) -> None:
-        """Cancel a job of which other shares run a part, then answer."""
+    def cancel_partitioned(self, job: Job, reply_to: Any) -> None:
+        """Cancel a job of which other shards run a part, then answer."""
         ...
 
     def request_received(self, message: Any, reply_to: Any) -> None:
-        """The holder of another share asks or tells something."""
+        """Process a call from the leader of another shard."""
         ...
 
     def reply_received(self, share: int, answer: Any) -> None:
-        """What it answered to what this one asked; None: nothing."""
+        """Process another shard's answer to a call; None: there was none."""
         ...
 
-    def step(self, now: float) -> None: ...
+    def step(self, now: float) -> None:
+        """Do what is due at ``now``, in monotonic seconds."""
+        ...
 
     def machine_evicted(self, kind: int, zone: int) -> None:
-        """A machine of this market was taken back."""
+        """Note that the cloud took back a spot machine of this type and zone."""
         ...
 
     def return_machines(self, machines: list[Machine]) -> None:
-        """The plan does without these idle machines of other shares."""
+        """Return idle machines that belong to other shards: the plan does without them."""
         ...
 
     def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
-        """What this share and the others need in all, and without spot machines."""
+        """Return what this shard and the others need: in all, and without spot machines."""
         ...
 
     def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
-        """Work of other shares that no machine of theirs can ever take."""
+        """Return work of other shards that none of their machines can ever take."""
         ...
 
     def view(self) -> dict[str, Any]:
-        """For operators."""
+        """Return the shard's state for operators."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityNeed:
-    """Work that lacks room where there is none for it to come."""
+    """Work of a shard that can never get room among the shard's own machines."""
 
     gpus: float
     cpus: float
     memory_gb: float
+    """Per task, as the two above."""
     tasks: int
     spot: bool
     eligible_types: list[bool]
-    """By type: may it run there?"""
+    """By machine type: whether the work may run there."""
     zones: list[int]
     spread_by: int = 1
-    """So many machines must be rented for one to reach the share that needs it."""
+    """How many machines must be rented for one of them to reach the shard that needs it."""
 
 
 class ZoneHealth(Protocol):
-    """Which zones are to be trusted."""
+    """Which zones can be reached."""
 
-    def is_trusted(self, zone: int) -> bool: ...
+    def is_trusted(self, zone: int) -> bool:
+        """Tell whether a zone's machines count as there: reachable, or not lost for long."""
+        ...
 
 
 class FleetView(Protocol):
-    """The fleet, as what looks at it and rents for it sees it."""
+    """The fleet as the parts that plan and rent for it see it.
+
+    ``kind`` and ``zone`` are indexes into the cluster's machine types and zones; pools
+    are told apart by whether their machines have GPUs.
+    """
 
     scheduler: SchedulerView
     cluster: ClusterState
     operator: OperatorSettings
     shortages: list[Shortage]
+    """Work that found no room in the last placement pass."""
     pending_rentals: dict[str, tuple[int, int, bool, int]]
+    """By request: kind, zone, spot and count of what the cloud has not answered yet."""
     arrivals: deque[tuple[float, float, float, bool, float]]
+    """Recent submissions: time, CPUs, GPUs, spot, and the seconds they may wait."""
     spot_groups: set[tuple[int, int]]
+    """Spot markets in use, by kind and zone."""
     evicted_markets: dict[tuple[int, int], float]
+    """Until when nothing is rented in a market that lost machines, monotonic seconds."""
     recent_required: dict[bool, deque[tuple[float, float]]]
+    """By pool: time and required capacity, lately."""
     on_demand_spare: dict[bool, float]
+    """By pool: on-demand capacity that is not needed."""
     next_summary: float
+    """When the plan is summarized in the log next, in monotonic seconds."""
 
     @property
-    def zone_health(self) -> ZoneHealth: ...
+    def zone_health(self) -> ZoneHealth:
+        """Which zones can be trusted."""
+        ...
 
-    def is_crowded(self) -> bool: ...
+    def is_crowded(self) -> bool:
+        """Tell whether the number of machines counts for more than their price.
 
-    def accepts_rentals(self, kind: int, zone: int, spot: bool) -> bool: ...
+        That is so once the nodes have connections left for less than half of the
+        machines that they can hear.
+        """
+        ...
 
-    def is_exhausted(self, kind: int, zone: int, spot: bool) -> bool: ...
+    def accepts_rentals(self, kind: int, zone: int, spot: bool) -> bool:
+        """Tell whether a market has not refused lately and its machines could be heard."""
+        ...
+
+    def is_exhausted(self, kind: int, zone: int, spot: bool) -> bool:
+        """Tell whether the market had less than was wanted when it was last asked."""
+        ...
 
-    def may_rent(self, kind: int, zone: int, spot: bool) -> bool: ...
+    def may_rent(self, kind: int, zone: int, spot: bool) -> bool:
+        """Tell whether to ask now: accepted, with room for machines and no answer outstanding."""
+        ...
 
-    def rent(self, kind: int, zone: int, spot: bool, count: int) -> None: ...
+    def rent(self, kind: int, zone: int, spot: bool, count: int) -> None:
+        """Rent up to ``count`` machines, as far as the nodes can hear more."""
+        ...
 
-    def delete(self, machine: Machine, reason: str) -> None: ...
+    def delete(self, machine: Machine, reason: str) -> None:
+        """Delete a machine; ``reason`` goes into the log."""
+        ...
 
-    def evict_group(self, machine: Machine) -> None: ...
+    def evict_group(self, machine: Machine) -> None:
+        """Give up the spot market of a machine that the cloud takes back, if it is spot."""
+        ...
 
-    def capacity_units(self, machine: Machine) -> float: ...
+    def capacity_units(self, machine: Machine) -> float:
+        """Return a machine's capacity in on-demand machines of its pool."""
+        ...
