--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -25,7 +25,7 @@
 @dataclass(frozen=True, slots=True)
 class _PendingCommit:
     transaction: Transaction
-    term: LeaderTerm | None
+    term: LeaderTerm
 
 
 class LogCommitter:
@@ -57,7 +57,7 @@
         self._stop.set()
         self._queue.put(None)
 
-    def send(self, transaction: Transaction, term: LeaderTerm | None) -> None:
+    def send(self, transaction: Transaction, term: LeaderTerm) -> None:
         """Commit a transaction of ``term``; the outcome comes back as an event."""
         self._queue.put(_PendingCommit(transaction, term))
 
@@ -68,7 +68,7 @@
                 return
             self._commit(pending.transaction, pending.term)
 
-    def _commit(self, transaction: Transaction, term: LeaderTerm | None) -> None:
+    def _commit(self, transaction: Transaction, term: LeaderTerm) -> None:
         """Send a transaction until its outcome is known: its guards let it apply only once."""
         while not self._stop.is_set() and self._current_term() is term:
             try:
@@ -76,25 +76,25 @@
             except CompareFailedError as error:
                 if transaction.probe_key and self._already_applied(transaction, term):
                     return
-                log.info("commit fenced term=%s failed_guards=%s", _term_id(term), error)
+                log.info("commit fenced term=%s failed_guards=%s", term.term_id, error)
                 self._post(events.Fenced(term))
                 return
             except LeaseExpiredError as error:
                 self._refused_as_malformed(term, error)
                 return
             except StoreError as error:
-                log.debug("commit stalled term=%s error=%s", _term_id(term), error)
+                log.debug("commit stalled term=%s error=%s", term.term_id, error)
                 self._post(events.CommitStalled(term))
             else:
                 self._post(events.CommitSucceeded(term, revision))
                 return
             self._stop.wait(RETRY_S)
 
-    def _refused_as_malformed(self, term: LeaderTerm | None, error: LeaseExpiredError) -> None:
-        log.error("commit refused as malformed term=%s error=%s", _term_id(term), error)
+    def _refused_as_malformed(self, term: LeaderTerm, error: LeaseExpiredError) -> None:
+        log.error("commit refused as malformed term=%s error=%s", term.term_id, error)
         self._post(events.Fenced(term))
 
-    def _already_applied(self, transaction: Transaction, term: LeaderTerm | None) -> bool:
+    def _already_applied(self, transaction: Transaction, term: LeaderTerm) -> bool:
         """Find out whether an earlier copy of the transaction was applied.
 
         If so, its success is posted. A term that ends meanwhile leaves it undecided.
@@ -103,7 +103,7 @@
             try:
                 item = self._store.get(transaction.probe_key)
             except StoreError as error:
-                log.debug("commit outcome unknown term=%s error=%s", _term_id(term), error)
+                log.debug("commit outcome unknown term=%s error=%s", term.term_id, error)
                 self._stop.wait(RETRY_S)
                 continue
             value = None if item is None else item.value
@@ -112,7 +112,3 @@
             self._post(events.CommitSucceeded(term, item.version))
             return True
         return False
-
-
-def _term_id(term: LeaderTerm | None) -> str | None:
-    return None if term is None else term.term_id
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -11,6 +11,7 @@
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol.wire import ProtocolError
+from appleshift.scheduler.dependencies import SchedulerDependencies
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError
@@ -70,16 +71,20 @@
     """Build the scheduler of a term from what was recovered."""
     write_ahead_log = _resume_log(context, term, recovered, now)
     return Scheduler(
-        context.settings,
-        context.operator,
-        lease,
-        term.fencing_token,
-        recovered.replayer,
-        write_ahead_log,
-        context.runtime.now,
-        context.runtime.wall_time(),
-        _counted_resources(context, term, recovered.replayer, write_ahead_log),
-        recovered.sharding,
+        SchedulerDependencies(
+            settings=context.settings,
+            operator=context.operator,
+            lease=lease,
+            fencing_token=term.fencing_token,
+            replayer=recovered.replayer,
+            write_ahead_log=write_ahead_log,
+            clock=context.runtime.now,
+            wall_time=context.runtime.wall_time(),
+            counted_resources=_counted_resources(
+                context, term, recovered.replayer, write_ahead_log
+            ),
+            sharding=recovered.sharding,
+        )
     )
 
 
