--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -14,7 +14,7 @@
 from appleshift.protocol.wire import encode
 from appleshift.transport.client import HttpCaller
 from appleshift.transport.concurrency import Runtime
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 ANSWER_S = 4.0
 """Users wait 5 s for most answers, workers 4 s; later ones help nobody."""
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -8,7 +8,7 @@
 from appleshift.api.context import ApiContext, ShardReplicaView, unavailable
 from appleshift.api.freshness import ResponseFreshness
 from appleshift.transport.client import ClientError
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -21,7 +21,7 @@
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import HttpAnswer
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 VALID_FOR = "Valid-For-Ms"
 """For siblings: how much longer the node that answered is entitled to."""
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -10,8 +10,8 @@
 from appleshift.protocol import users
 from appleshift.storage.key_value_store import KeyValueStore, StoreError
 from appleshift.storage.write_ahead_log import audit_key
-from appleshift.transport.concurrency import RateLimiter
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
+from appleshift.transport.rate_limiter import RateLimiter
 
 PAGES_RPS = 2.0
 """Pages of the audit that a node reads in a second. They come out of its share
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -8,7 +8,7 @@
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
 from appleshift.protocol.wire import ProtocolError
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 
 class PeerEndpoints:
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -25,7 +25,7 @@
 from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import HttpCaller
 from appleshift.transport.concurrency import Runtime
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -16,7 +16,7 @@
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 
 JOBS = "/submissions"
 
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -20,7 +20,7 @@
 from appleshift.heartbeat_ingest.relay import HeartbeatRelay
 from appleshift.protocol import peers, users, workers
 from appleshift.protocol.wire import ProtocolError, decode
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 RELAYED_S = 2.5
 """A relay waits 3 s for a batch's answers, its workers 4 s."""
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -12,7 +12,8 @@
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import Runtime, ThreadPool
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/dispatch/outbound_calls.py
+++ b/appleshift/dispatch/outbound_calls.py
@@ -15,7 +15,9 @@
 from appleshift.protocol.wire import ProtocolError, decode, encode
 from appleshift.protocol.workers import Heartbeat, decode_heartbeat
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import RateLimiter, Runtime, ThreadPool
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.rate_limiter import RateLimiter
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -21,7 +21,8 @@
 from appleshift.protocol import peers
 from appleshift.protocol.wire import ProtocolError, encode
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import Runtime, ThreadPool
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -47,7 +47,7 @@
 from appleshift.storage.records import LogReplayer
 from appleshift.storage.write_ahead_log import shard_prefix
 from appleshift.transport.client import ClientError
-from appleshift.transport.concurrency import ThreadPool
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -18,7 +18,8 @@
     log_key,
 )
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import RateLimiter, Runtime
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.rate_limiter import RateLimiter
 
 PAGE_ITEMS = 1000
 """As many as the service puts into an answer. It cuts one short by size, too, so
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -12,41 +12,53 @@
 import httptools
 
 CONTENT_TYPE = "application/msgpack"
+"""Of all bodies that are sent."""
 RETRY_AFTER, VALID_FOR = b"retry-after", b"valid-for-ms"
-MAX_ANSWER = 64 * 1024 * 1024
-"""Lists and logs can be long; nothing honest is longer than this."""
+"""The only header fields that are kept, in lower case."""
+MAX_RESPONSE = 64 * 1024 * 1024
+"""Largest response in bytes: lists and logs can be long, but no correct one is longer."""
+_RECEIVE_SIZE = 65536
+"""Most bytes that one system call receives."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A response, with the headers that callers go by."""
+    """A response, with the header fields that callers use, as text."""
 
     status: int
     body: bytes
     retry_after: str | None = None
+    """Seconds after which the request may be repeated."""
     valid_for_ms: str | None = None
+    """Milliseconds for which the sender vouches for the response."""
 
 
 class ClientError(Exception):
-    """No usable answer. The request may have been executed, or may yet be."""
+    """There is no usable response. The request may have been executed, or may yet be."""
 
 
 class HttpCaller(Protocol):
-    """Requests to one address."""
+    """Sends requests to one address; ``timeout`` is in seconds."""
 
     def request(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> tuple[int, bytes]: ...
+    ) -> tuple[int, bytes]:
+        """Return the status and body of the response; ClientError without one in time."""
+        ...
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> HttpAnswer: ...
+    ) -> HttpAnswer:
+        """Like ``request``, with the header fields of the response."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close the connections that are kept."""
+        ...
 
 
-class _AnswerReader:
-    """One response, put together by httptools' parser."""
+class _ResponseReader:
+    """Assembles one response; httptools' parser calls the ``on_...`` methods."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -66,10 +78,11 @@
     def on_message_complete(self) -> None:
         if self.parser.get_status_code() >= 200:
             self.complete = True
-            # Asked later, the parser would speak of the message to come.
+            # Later on the parser would answer for the message after this one.
             self.reusable = self.parser.should_keep_alive()
 
-    def whole(self) -> HttpAnswer:
+    def response(self) -> HttpAnswer:
+        """Return the response once it is complete."""
         return HttpAnswer(
             self.parser.get_status_code(),
             b"".join(self.parts),
@@ -79,86 +92,89 @@
 
 
 class HttpClient:
-    """Requests to one address; connections are kept for the next request.
+    """Sends requests to one address; connections are kept for the next request.
 
-    The standard library's client parses headers as if they were mail, which
-    took most of a controller's time for direct commands; httptools does not.
+    The standard library's client parses headers as if they were mail, which took most of a
+    controller's time for direct commands; httptools does not.
     """
 
     def __init__(self, address: tuple[str, int], keep: int = 4, idle_s: float = 20.0) -> None:
+        """Keep up to ``keep`` idle connections, each for ``idle_s`` seconds."""
         self._host, self._port = address
         self._keep = keep
         self._idle_s = idle_s
-        self._free: deque[tuple[socket.socket, float]] = deque()
+        # With the time of the monotonic clock since which each is idle; used last, first out.
+        self._idle: deque[tuple[socket.socket, float]] = deque()
         self._lock = threading.Lock()
 
     def request(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> tuple[int, bytes]:
-        """One request and its answer; ClientError if there is none in time."""
-        answer = self.request_full(method, path, body, timeout)
-        return answer.status, answer.body
+        """Return the status and body of the response; ClientError without one in time."""
+        response = self.request_full(method, path, body, timeout)
+        return response.status, response.body
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> HttpAnswer:
-        """Like ``request``, with the answer's headers."""
+        """Like ``request``, with the header fields of the response."""
         if not path.isascii() or any(character in path for character in " \r\n"):
             raise ClientError(f"{path!r} cannot stand in a request line")
         head = f"{method} {path} HTTP/1.1\r\nHost: {self._host}:{self._port}\r\n"
         if body is not None:
             head += f"Content-Type: {CONTENT_TYPE}\r\nContent-Length: {len(body)}\r\n"
-        until = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         connection: socket.socket | None = None
         reused = False
         try:
             connection, reused = self._acquire(timeout)
             connection.sendall(head.encode() + b"\r\n" + (body or b""))
-            answer = self._receive(connection, until)
+            reader = self._receive(connection, deadline)
         except (OSError, ValueError, httptools.HttpParserError) as error:
             if connection is not None:
                 connection.close()
             if reused and not isinstance(error, TimeoutError):
-                # The other process ended, or closed it: so it did with the others
-                # that were kept. Each would have cost a request of its own, and a
-                # process that is back within a moment has none of them.
+                # The server closed the connection, perhaps because its process ended, and
+                # with it the others that are kept. Each of those would fail a request of
+                # its own, even though a restarted server is back within a moment.
                 self.close()
-            raise ClientError(f"{self._host}:{self._port}{path}: {error!r}") from None
-        if answer.reusable:
+            raise ClientError(f"{self._host}:{self._port}{path}: {error!r}") from error
+        if reader.reusable:
             self._release(connection)
         else:
             connection.close()
-        return answer.whole()
+        return reader.response()
 
     @staticmethod
-    def _receive(connection: socket.socket, until: float) -> _AnswerReader:
-        answer = _AnswerReader()
+    def _receive(connection: socket.socket, deadline: float) -> _ResponseReader:
+        """Read one response; OSError or ValueError if it does not come whole in time."""
+        reader = _ResponseReader()
         size = 0
-        while not answer.complete:
-            data = connection.recv(65536)
+        while not reader.complete:
+            data = connection.recv(_RECEIVE_SIZE)
             if not data:
-                raise ValueError("the connection ended within the answer")
+                raise ValueError("the connection ended within the response")
             size += len(data)
-            if size > MAX_ANSWER:
-                raise ValueError("the answer is too large")
-            answer.parser.feed_data(data)
-            if not answer.complete:
-                # The time given is for the whole answer, however it trickles.
-                left = until - time.monotonic()
-                if left <= 0:
-                    raise TimeoutError("the answer did not come whole in time")
-                connection.settimeout(left)
-        return answer
+            if size > MAX_RESPONSE:
+                raise ValueError("the response is too large")
+            reader.parser.feed_data(data)
+            if not reader.complete:
+                # The timeout is for the whole response: one that trickles must not renew it.
+                remaining_s = deadline - time.monotonic()
+                if remaining_s <= 0:
+                    raise TimeoutError("the response did not come whole in time")
+                connection.settimeout(remaining_s)
+        return reader
 
     def _acquire(self, timeout: float) -> tuple[socket.socket, bool]:
-        """A connection, and whether it has served before."""
+        """Return a connection, and whether it was used before."""
         now = time.monotonic()
         with self._lock:
-            while self._free:
-                connection, since = self._free.pop()
-                # The other side closes idle connections; one that it may be
-                # closing right now would look like a lost request.
-                if now - since < self._idle_s:
+            while self._idle:
+                connection, idle_since = self._idle.pop()
+                # The server closes idle connections as well. A request on one that it is
+                # just closing would look like a request that was lost.
+                if now - idle_since < self._idle_s:
                     if connection.gettimeout() != timeout:
                         connection.settimeout(timeout)
                     return connection, True
@@ -169,12 +185,13 @@
 
     def _release(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._free) < self._keep:
-                self._free.append((connection, time.monotonic()))
+            if len(self._idle) < self._keep:
+                self._idle.append((connection, time.monotonic()))
                 return
         connection.close()
 
     def close(self) -> None:
+        """Close the connections that are kept; later requests open others."""
         with self._lock:
-            while self._free:
-                self._free.pop()[0].close()
+            while self._idle:
+                self._idle.pop()[0].close()
--- a/appleshift/transport/concurrency.py
+++ b/appleshift/transport/concurrency.py
@@ -1,73 +1,97 @@
-"""Routines, queues, events and clocks, behind one small interface.
+"""Threads, queues, events and clocks behind one small interface.
 
-Every duty blocks only through what is defined here. On machines that is the
-operating system's threads; a test passes its own, which run the same duties
-one at a time on a virtual clock, so that any interleaving can be replayed.
+Everything in the package that blocks does so only through what is defined here. In
+production these are the operating system's threads; a test passes its own runtime, which
+runs the same functions one at a time on a virtual clock, so that any interleaving can be
+replayed.
 """
 
 from __future__ import annotations
 
-import logging
 import queue
 import threading
 import time
 from collections.abc import Callable
 from typing import Any, Protocol
 
-log = logging.getLogger(__name__)
-
 STACK_BYTES = 256 * 1024
+"""Size of each thread's stack."""
 
 
 class Queue(Protocol):
-    """A queue; ``get`` raises ``queue.Empty`` when the time runs out."""
+    """An unbounded first-in, first-out queue between threads."""
 
-    def put(self, item: Any) -> None: ...
+    def put(self, item: Any) -> None:
+        """Append an item; never blocks."""
+        ...
 
-    def get(self, block: bool = True, timeout: float | None = None) -> Any: ...
+    def get(self, block: bool = True, timeout: float | None = None) -> Any:
+        """Remove the first item; ``queue.Empty`` if none comes within ``timeout`` seconds."""
+        ...
 
-    def get_nowait(self) -> Any: ...
+    def get_nowait(self) -> Any:
+        """Remove the first item; ``queue.Empty`` if there is none."""
+        ...
 
-    def qsize(self) -> int: ...
+    def qsize(self) -> int:
+        """Count the items that wait."""
+        ...
 
 
 class Event(Protocol):
-    """An event that routines can wait for."""
+    """A flag that threads can wait for."""
 
-    def set(self) -> None: ...
+    def set(self) -> None:
+        """Raise the flag and wake all who wait for it."""
+        ...
 
-    def clear(self) -> None: ...
+    def clear(self) -> None:
+        """Lower the flag."""
+        ...
 
-    def is_set(self) -> bool: ...
+    def is_set(self) -> bool:
+        """Whether the flag is raised."""
+        ...
 
-    def wait(self, timeout: float | None = None) -> bool: ...
+    def wait(self, timeout: float | None = None) -> bool:
+        """Block until the flag is raised; False if it isn't after ``timeout`` seconds."""
+        ...
 
 
 class Runtime(Protocol):
-    """What a node's routines run on."""
+    """The threads and clocks that a node runs on."""
 
     def now(self) -> float:
-        """The steady clock."""
+        """Seconds on a monotonic clock."""
         ...
 
     def wall_time(self) -> float:
-        """Time of day."""
+        """Time of day in seconds since 1970."""
         ...
 
-    def sleep(self, seconds: float) -> None: ...
+    def sleep(self, seconds: float) -> None:
+        """Block the calling thread."""
+        ...
 
-    def queue(self) -> Queue: ...
+    def queue(self) -> Queue:
+        """Make an empty queue."""
+        ...
 
-    def event(self) -> Event: ...
+    def event(self) -> Event:
+        """Make an event that is not set."""
+        ...
 
-    def spawn(self, name: str, target: Callable[..., None], *args: Any) -> None: ...
+    def spawn(self, name: str, target: Callable[..., None], *args: Any) -> None:
+        """Run ``target(*args)`` in a new thread; RuntimeError if there can be no more."""
+        ...
 
 
 class ThreadRuntime:
-    """Routines as threads of the operating system."""
+    """The operating system's threads and clocks."""
 
     def __init__(self) -> None:
-        # Hundreds of connections have one each: the default stacks are too large.
+        """Set the stack size of all threads that the process starts from now on."""
+        # Hundreds of connections have a thread each: the default stacks are too large.
         threading.stack_size(STACK_BYTES)
 
     now = staticmethod(time.monotonic)
@@ -75,96 +99,13 @@
     sleep = staticmethod(time.sleep)
 
     def queue(self) -> Queue:
+        """Make an empty queue."""
         return queue.SimpleQueue()
 
     def event(self) -> Event:
+        """Make an event that is not set."""
         return threading.Event()
 
     def spawn(self, name: str, target: Callable[..., None], *args: Any) -> None:
+        """Run ``target(*args)`` in a daemon thread; RuntimeError if there can be no more."""
         threading.Thread(target=target, args=args, name=name, daemon=True).start()
-
-
-class ThreadPool:
-    """A bounded set of routines that carry out calls; started when needed."""
-
-    def __init__(self, runtime: Runtime, name: str, size: int) -> None:
-        self._runtime = runtime
-        self._name = name
-        self._size = size
-        self._started = 0
-        self._idle = 0
-        self._lock = threading.Lock()
-        self._calls = runtime.queue()
-        self._stopped = False
-
-    def submit(self, call: Callable[..., None], *args: Any) -> None:
-        if self._stopped:
-            return
-        self._calls.put((call, args))
-        with self._lock:
-            if self._idle >= self._calls.qsize() or self._started >= self._size:
-                return
-            self._started += 1
-            number = self._started
-        try:
-            self._runtime.spawn(f"{self._name}-{number}", self._run)
-        except RuntimeError:
-            # No more threads to be had. Whoever submits, often the core, goes on; the
-            # call waits for a routine that there is, or for the next one's try.
-            with self._lock:
-                self._started -= 1
-            log.warning("%s: no thread for another routine, %d run", self._name, number - 1)
-
-    def stop(self) -> None:
-        """Drop what waits; calls under way end by their timeouts."""
-        self._stopped = True
-        for _ in range(self._size):
-            self._calls.put(None)
-
-    def _run(self) -> None:
-        while not self._stopped:
-            with self._lock:
-                self._idle += 1
-            entry = self._calls.get()
-            with self._lock:
-                self._idle -= 1
-            if entry is None:
-                return
-            call, args = entry
-            try:
-                call(*args)
-            except Exception:
-                # A routine of a pool serves others too: it goes on.
-                log.exception("%s failed", self._name)
-
-
-class RateLimiter:
-    """Keeps calls below a rate with bursts of one second's worth."""
-
-    def __init__(self, runtime: Runtime, rate: float) -> None:
-        self._runtime = runtime
-        self._rate = rate
-        self._level = rate
-        self._at = runtime.now()
-        self._lock = threading.Lock()
-
-    def try_acquire(self) -> bool:
-        """Take one call's worth, if there is any."""
-        return self._wait_s() == 0.0
-
-    def acquire(self) -> None:
-        """Take one call's worth, waiting for it if need be."""
-        while missing := self._wait_s():
-            self._runtime.sleep(missing)
-
-    def _wait_s(self) -> float:
-        """0 with one call's worth taken, else how long it takes to come."""
-        with self._lock:
-            now = self._runtime.now()
-            self._level = min(self._rate, self._level + (now - self._at) * self._rate)
-            self._at = now
-            # The level fills in floating point: it may miss 1 by a hair.
-            if self._level >= 1.0 - 1e-9:
-                self._level -= 1.0
-                return 0.0
-            return (1.0 - self._level) / self._rate
--- a/appleshift/transport/idle_connections.py
+++ b/appleshift/transport/idle_connections.py
@@ -2,7 +2,7 @@
 
 All threads of the pool wait for all of these connections at once. The one that is woken
 serves its connection and then lets the kernel watch it again. A queue between one thread
-that waits and others that serve cost two switches of threads more for each request.
+that waits and others that serve would cost two more context switches for each request.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-ONCE = select.EPOLLIN | select.EPOLLONESHOT
-"""Only one thread is told that something has arrived, until the connection is watched again."""
+_READABLE_ONCE = select.EPOLLIN | select.EPOLLONESHOT
+"""Only one thread is woken when something arrives, until the connection is watched again."""
 
 
 class Connection(Protocol):
@@ -34,13 +34,14 @@
 
 
 class IdleConnections(Generic[ConnectionT]):
-    """Between requests a connection is watched; within one, a thread of the pool has it.
+    """Between requests the kernel watches a connection; within one, a thread serves it.
 
-    A connection is closed by the thread that has it, after it was taken out of what is
-    watched: a descriptor that is used again is never mistaken for the one before it.
+    Only the thread that serves a connection closes it, after it has ended the kernel's watch:
+    a file descriptor that is used again is then never mistaken for its predecessor.
     """
 
     def __init__(self, name: str, threads: int, close: Callable[[ConnectionT], None]) -> None:
+        """Serve with up to ``threads`` threads; ``close`` is called once per connection."""
         self._name = name
         self._threads = threads
         self._close = close
@@ -49,55 +50,58 @@
         self._stopped = False
         self._connections: dict[int, ConnectionT] = {}
         self._epoll = select.epoll()
-        # Readable for every thread once the sending end is closed.
-        self._end, self._end_sender = socket.socketpair()
-        self._epoll.register(self._end, select.EPOLLIN)
+        # Becomes readable for every thread once the sending end is closed.
+        self._stop_receiver, self._stop_sender = socket.socketpair()
+        self._epoll.register(self._stop_receiver, select.EPOLLIN)
 
     def add(self, connection: ConnectionT) -> None:
-        """Watch a new connection."""
+        """Watch a new connection; it is closed at once if no thread can serve it."""
         descriptor = connection.connection.fileno()
         with self._lock:
             self._connections[descriptor] = connection
-            added = not self._stopped and self._start_thread()
-            if added:
-                self._epoll.register(descriptor, ONCE)
-        if not added:
+            is_served = not self._stopped and self._ensure_thread()
+            if is_served:
+                self._epoll.register(descriptor, _READABLE_ONCE)
+        if not is_served:
             self._drop(descriptor)
 
-    def _start_thread(self) -> bool:
-        """One more thread if there may be more; False if there is none at all."""
+    def _ensure_thread(self) -> bool:
+        """Start one more thread if there may be more; False if there is none at all."""
         if self._started < self._threads:
             name = f"{self._name}-pool-{self._started + 1}"
             try:
                 threading.Thread(target=self._run, name=name, daemon=True).start()
                 self._started += 1
             except RuntimeError:
-                log.warning("%s: no thread beyond %d for the pool", self._name, self._started)
+                # The operating system grants no more: those that run serve all connections.
+                log.warning(
+                    "connection pool cannot grow listener=%s threads=%d", self._name, self._started
+                )
         return self._started > 0
 
     def stop(self) -> None:
-        """Close what is watched; a request under way ends its connection."""
+        """Close all connections; one with a request under way is closed after it."""
         with self._lock:
             self._stopped = True
-            unused = self._started == 0
-        self._end_sender.close()
-        if unused:
+            has_no_thread = self._started == 0
+        self._stop_sender.close()
+        if has_no_thread:
             self._close_all()
 
     def _run(self) -> None:
         while not self._stopped:
             for descriptor, _ in self._epoll.poll(maxevents=1):
-                if descriptor != self._end.fileno():
+                if descriptor != self._stop_receiver.fileno():
                     self._serve(descriptor)
         with self._lock:
             self._started -= 1
-            last = self._started == 0
-        if last:
+            is_last = self._started == 0
+        if is_last:
             self._close_all()
 
     def _serve(self, descriptor: int) -> None:
         if self._connections[descriptor].serve_arrived() and not self._stopped:
-            self._epoll.modify(descriptor, ONCE)
+            self._epoll.modify(descriptor, _READABLE_ONCE)
         else:
             self._epoll.unregister(descriptor)
             self._drop(descriptor)
@@ -109,4 +113,4 @@
         for descriptor in list(self._connections):
             self._drop(descriptor)
         self._epoll.close()
-        self._end.close()
+        self._stop_receiver.close()
--- a/tests/api/test_request_validation.py
+++ b/tests/api/test_request_validation.py
@@ -10,7 +10,7 @@
 
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.simulated_world import World
 
 GOOD: dict[str, Any] = {
--- a/tests/api/test_response_freshness.py
+++ b/tests/api/test_response_freshness.py
@@ -13,7 +13,7 @@
 from appleshift.api.freshness import VALID_FOR, ResponseFreshness
 from appleshift.scheduler.job_requests import JobRequests
 from appleshift.transport.client import HttpAnswer
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 from tests.support.overlapping_failures import watch
 from tests.support.scheduler_bench import Bench, history
 from tests.support.simulated_world import PLAIN, World
--- a/tests/golden/surface_adapter.py
+++ b/tests/golden/surface_adapter.py
@@ -24,7 +24,7 @@
 from appleshift.protocol.operator import OperatorSettings, load_operator_settings
 from appleshift.protocol.settings import Settings, SettingsError, load_settings
 from appleshift.protocol.wire import decode, encode
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.deployments import SMALL
 from tests.support.license_server import LicenceServer
 from tests.support.simulated_world import LICENCES, World
--- a/tests/heartbeat_ingest/test_heartbeat_ingest.py
+++ b/tests/heartbeat_ingest/test_heartbeat_ingest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from appleshift.heartbeat_ingest import relay_assignment as routes
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.deployments import CROWDED
 from tests.support.fault_injection import heal, unleash
 from tests.support.simulated_world import World
--- a/tests/leader_election/test_store_isolation.py
+++ b/tests/leader_election/test_store_isolation.py
@@ -16,7 +16,7 @@
 
 from appleshift.leader_election.election import LeaderElection
 from appleshift.leader_election.leader_lease import LeaderLease
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.deployments import CANCEL_S, LARGE, LEASE_S, SMALL, Site
 from tests.support.fault_injection import store_refuses_leader_then_all
 from tests.support.overlapping_failures import entitled, watch
--- a/tests/measurements/measure_connections.py
+++ b/tests/measurements/measure_connections.py
@@ -28,7 +28,8 @@
 from appleshift.node_limits.node_limits import POOL_THREADS, NodeLimits
 from appleshift.protocol.settings import MachineLimits
 from appleshift.transport.concurrency import ThreadRuntime
-from appleshift.transport.server import HttpListener, Request, Response
+from appleshift.transport.http_messages import Request, Response
+from appleshift.transport.server import HttpListener
 
 LIMITS = MachineLimits(core_share=1.0, memory_mb=1200.0, max_sockets=6000)
 MOST_CONNECTIONS, MOST_SECONDS = 6000, 120.0
--- a/tests/scheduler/test_node_limits.py
+++ b/tests/scheduler/test_node_limits.py
@@ -13,7 +13,7 @@
 from appleshift.node_limits.node_limits import POOL_THREADS, LoadMonitor, NodeLimits, TimeBudget
 from appleshift.protocol.settings import MachineLimits
 from appleshift.transport.concurrency import ThreadRuntime
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.builders import submission
 
 
--- a/tests/simulation/test_simulated_days.py
+++ b/tests/simulation/test_simulated_days.py
@@ -13,7 +13,7 @@
 from appleshift.machines.fleet import Fleet
 from appleshift.scheduler import scheduler as scheduler
 from appleshift.storage.key_value_store import KeyValueStore
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.deployments import KINDS, LARGE, SMALL
 from tests.support.fault_injection import heal, outages, unleash
 from tests.support.invariants import Seen
--- a/tests/support/loopback_cluster.py
+++ b/tests/support/loopback_cluster.py
@@ -20,7 +20,8 @@
 import pytest
 
 from appleshift.transport.client import ClientError, HttpClient
-from appleshift.transport.server import HttpListener, Request, Response
+from appleshift.transport.http_messages import Request, Response
+from appleshift.transport.server import HttpListener
 from tests.support.invariants import Rules, Seen
 from tests.support.license_server import LicenceServer
 from tests.support.stand_ins import Cloud, Rig, StateService, Task, Worker
--- a/tests/support/simulated_world.py
+++ b/tests/support/simulated_world.py
@@ -21,7 +21,7 @@
 from appleshift.node import Node
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.transport.client import ClientError, HttpAnswer
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.deployments import (
     CANCEL_S,
     GANG_PEER_S,
