--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: runs a controller, checks settings, or queries nodes that run."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import sys
 import threading
 import time
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Any
 
@@ -24,12 +24,25 @@
 from appleshift.transport.client import ClientError, HttpClient
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+"""Values of the environment variable LOG_LEVEL."""
+
+EXIT_OK = 0
+EXIT_FAILURE = 1
+"""An address cannot be bound, or a node does not give the answer."""
+EXIT_USAGE = 2
+"""The arguments or the settings cannot be used."""
 
-USAGE_ERROR = 2
 LISTEN_RETRY_S = 0.1
+"""Seconds between two attempts to bind an address that is in use."""
 LOG_REPEAT_S = 30.0
+"""Least number of seconds between two log lines about an address in use."""
+QUERY_TIMEOUT_S = 5.0
+"""Seconds for one request to a node."""
 COUNTED_RESOURCES_TIMEOUT_S = 30.0
-"""Nodes answer 503 while nobody leads, and for pages that are read too fast."""
+"""Seconds for which a request that is answered with 503 is repeated. Nodes do so while there
+is no leader, and for pages that are read too fast."""
+COUNTED_RESOURCES_RETRY_S = 0.5
+"""Seconds between two such requests."""
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -43,6 +56,11 @@
         "--config", type=Path, metavar="FILE", help="run a controller with these settings (TOML)"
     )
     _operator_option(parser, "operators' own settings (protobuf text format), with --config")
+    _add_commands(parser)
+    return parser
+
+
+def _add_commands(parser: argparse.ArgumentParser) -> None:
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
 
     run = commands.add_parser("run", help="run a controller")
@@ -70,7 +88,6 @@
     seats.add_argument(
         "--history", action="store_true", help="every grant and return that is kept, in order"
     )
-    return parser
 
 
 def _operator_option(parser: argparse.ArgumentParser, text: str = "operators' settings") -> None:
@@ -91,110 +108,156 @@
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
     if level not in LEVELS:
-        logging.warning("LOG_LEVEL=%s is not one of %s: using info", level, ", ".join(LEVELS))
+        logging.warning(
+            "log level unknown LOG_LEVEL=%s accepted=%s using=info", level, ",".join(LEVELS)
+        )
 
 
-def _listen(node: Node, ended: threading.Event) -> bool:
-    """Take the node's addresses; False if told to end before. OSError if it never can.
+def _listen(node: Node, stopped: threading.Event) -> bool:
+    """Bind the node's addresses; False if stopped before. OSError if one can't be bound.
 
-    An address in use is waited for. Started again within a moment, a process may find
-    the one before it not gone yet; to end for that would be one more end, and if it is
-    another program, whoever looks finds this line.
+    An address in use is waited for: a process that is restarted within a moment may find its
+    predecessor still running, and must not exit for that. If another program has the
+    address, the log line tells so.
     """
-    said_at = float("-inf")
+    logged_at = float("-inf")
     while True:
         try:
             node.listen()
-            return True
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            if time.monotonic() - said_at > LOG_REPEAT_S:
-                logging.warning("waiting for an address that is in use: %s", error)
-                said_at = time.monotonic()
-        if ended.wait(LISTEN_RETRY_S):
+            if time.monotonic() - logged_at > LOG_REPEAT_S:
+                logging.warning("waiting for an address that is in use error=%s", error)
+                logged_at = time.monotonic()
+        else:
+            return True
+        if stopped.wait(LISTEN_RETRY_S):
             return False
 
 
-def _run(config: Path, operator: list[Path] | None) -> int:
-    settings = load_settings(config)
-    node_settings = load_operator_settings(operator, settings)
-    ended = threading.Event()
+def _run(options: argparse.Namespace) -> int:
+    """Run a controller until SIGTERM or SIGINT."""
+    settings = load_settings(options.config)
+    operator_settings = load_operator_settings(options.operator, settings)
+    stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: ended.set())
-    node = Node(settings, node_settings)
+        signal.signal(number, lambda *_: stopped.set())
+    node = Node(settings, operator_settings)
     try:
-        if not _listen(node, ended):
-            return 0
+        if not _listen(node, stopped):
+            return EXIT_OK
     except OSError as error:
-        print(f"appleshift: cannot listen: {error}", file=sys.stderr)
-        return 1
+        _print_error(f"cannot listen: {error}")
+        return EXIT_FAILURE
     node.start()
-    ended.wait()
+    stopped.wait()
     node.stop()
-    return 0
+    return EXIT_OK
+
+
+def _check(options: argparse.Namespace) -> int:
+    """Read both kinds of settings without starting anything."""
+    load_operator_settings(options.operator, load_settings(options.config))
+    print("settings are fine")
+    return EXIT_OK
+
+
+def _nodes(options: argparse.Namespace) -> int:
+    """Show each node's view of who leads."""
+    return max(_show(address, "/nodes") for address in options.address)
+
+
+def _job(options: argparse.Namespace) -> int:
+    """Show a job's state."""
+    return _show(options.address, f"/submissions/{options.id}")
+
+
+def _print_error(text: str) -> None:
+    print(f"appleshift: {text}", file=sys.stderr)
+
+
+def _print_json(value: Any) -> None:
+    print(msgspec.json.encode(value).decode())
 
 
 def _query(address: str, path: str) -> tuple[int, Any]:
-    status, body = HttpClient(split_address(address)).request("GET", path, None, 5.0)
+    """Return status and decoded body; ClientError, ProtocolError or ValueError without one."""
+    status, body = HttpClient(split_address(address)).request("GET", path, None, QUERY_TIMEOUT_S)
     return status, decode(body) if body else None
 
 
 def _show(address: str, path: str) -> int:
+    """Print a node's answer as JSON."""
     try:
         status, body = _query(address, path)
     except (ClientError, ProtocolError, ValueError) as error:
-        print(f"appleshift: {address}: {error}", file=sys.stderr)
-        return 1
-    print(msgspec.json.encode(body).decode())
-    return 0 if status == 200 else 1
+        _print_error(f"{address}: {error}")
+        return EXIT_FAILURE
+    _print_json(body)
+    return EXIT_OK if status == 200 else EXIT_FAILURE
 
 
-def _seats(address: str, as_json: bool, history: bool) -> int:
-    # Loaded only here, with the libraries that it needs.
+def _counted_resources(options: argparse.Namespace) -> int:
+    """Show counted resources, or the history of their grants and returns."""
+    # Imported only here: other commands start faster without the libraries that it needs.
     from appleshift.counted_resources import display
 
-    def ask(path: str) -> tuple[int, Any]:
-        while True:
-            status, body = _query(address, path)
-            if status != 503 or time.monotonic() > until:
-                return status, body
-            time.sleep(0.5)
+    deadline = time.monotonic() + COUNTED_RESOURCES_TIMEOUT_S
+
+    def query(path: str) -> tuple[int, Any]:
+        return _query_until(options.address, path, deadline)
 
-    until = time.monotonic() + COUNTED_RESOURCES_TIMEOUT_S
     try:
-        if history:
-            for entry in display.history(ask):
-                print(msgspec.json.encode(entry).decode() if as_json else display.line(entry))
+        if options.history:
+            for entry in display.history(query):
+                _print_entry(entry, display.line, options.json)
         else:
-            view = display.current(ask)
-            print(msgspec.json.encode(view).decode() if as_json else display.table(view))
+            _print_entry(display.current(query), display.table, options.json)
     except (ClientError, ProtocolError, ValueError, display.NotShownError) as error:
-        print(f"appleshift: {address}: {error}", file=sys.stderr)
-        return 1
-    return 0
+        _print_error(f"{options.address}: {error}")
+        return EXIT_FAILURE
+    return EXIT_OK
+
+
+def _query_until(address: str, path: str, deadline: float) -> tuple[int, Any]:
+    """Like ``_query``, repeated while the answer is 503, up to a time of the monotonic clock."""
+    while True:
+        status, body = _query(address, path)
+        if status != 503 or time.monotonic() > deadline:
+            return status, body
+        time.sleep(COUNTED_RESOURCES_RETRY_S)
+
+
+def _print_entry(entry: Any, to_text: Callable[[Any], str], as_json: bool) -> None:
+    if as_json:
+        _print_json(entry)
+    else:
+        print(to_text(entry))
+
+
+_COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "run": _run,
+    "check": _check,
+    "nodes": _nodes,
+    "job": _job,
+    "seats": _counted_resources,
+}
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
+    """Run the command line and return the exit code; SystemExit for arguments it refuses."""
     parser = _parser()
     options = parser.parse_args(arguments)
     _set_up_logging()
+    # Without a command, --config runs a controller.
+    command = options.command or "run"
+    if options.command is None and options.config is None:
+        parser.print_usage(sys.stderr)
+        _print_error("give --config FILE or a command")
+        return EXIT_USAGE
     try:
-        if options.command == "check":
-            load_operator_settings(options.operator, load_settings(options.config))
-            print("settings are fine")
-            return 0
-        if options.command == "nodes":
-            return max(_show(address, "/nodes") for address in options.address)
-        if options.command == "job":
-            return _show(options.address, f"/submissions/{options.id}")
-        if options.command == "seats":
-            return _seats(options.address, options.json, options.history)
-        if options.config is None:
-            parser.print_usage(sys.stderr)
-            print("appleshift: give --config FILE or a command", file=sys.stderr)
-            return USAGE_ERROR
-        return _run(options.config, options.operator)
+        return _COMMANDS[command](options)
     except SettingsError as error:
-        print(f"appleshift: {error}", file=sys.stderr)
-        return USAGE_ERROR
+        _print_error(str(error))
+        return EXIT_USAGE
