--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""Messages between controller nodes and the cloud."""
+"""Messages between controller nodes and the cloud's API. ``rename`` maps to wire names."""
 
 from __future__ import annotations
 
@@ -9,10 +9,14 @@
 from appleshift.protocol.wire import ProtocolError, decode_as
 
 FAILED = "failed"
+"""State of a machine that the cloud lists but that will never work."""
 
 MAX_RENT = 50
+"""Most machines that one request may rent."""
 MAX_DELETE = 100
+"""Most machines that one request may delete."""
 MAX_LIST = 500
+"""Most machines on one page of the list."""
 
 Positive = Annotated[float, msgspec.Meta(ge=0.0)]
 
@@ -31,7 +35,11 @@
         "zones": "yards",
     },
 ):
-    """What can be rented, and at which price an hour right now."""
+    """A type of machine that can be rented, with its prices at present.
+
+    Prices are per hour, ``memory_gb`` and ``cache_gb`` in gigabytes, ``boot_s`` in seconds
+    from the request until it works; ``fetch_gb_per_s`` is the rate at which it loads images.
+    """
 
     name: str
     cpus: Positive
@@ -46,6 +54,8 @@
 
 
 class TypeList(msgspec.Struct, frozen=True, rename={"types": "rig_kinds"}):
+    """Answer to a request for all types."""
+
     types: list[MachineType]
 
 
@@ -60,17 +70,21 @@
         "state": "status",
     },
 ):
+    """A machine on the cloud's list."""
+
     name: str
     type: str
     zone: str
     spot: bool
     state: str
     age_s: float
+    """Seconds since it was rented."""
     addr: str = ""
+    """``host:port`` of its worker; empty while it has none."""
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """A page of the list; ``whole``: every row could be read."""
+    """A page of the list. ``more``: others follow; ``whole``: every row could be decoded."""
 
     machines: list[ListedMachine]
     more: bool
@@ -83,6 +97,8 @@
 
 
 class Rented(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
+    """Answer to a request to rent: names of the new machines."""
+
     machines: list[str]
 
 
@@ -93,11 +109,15 @@
 
 
 def decode_types(body: bytes) -> list[MachineType]:
+    """Decode the types that can be rented; ProtocolError if malformed."""
     return decode_as(_types, body).types
 
 
 def decode_list(body: bytes) -> MachineList:
-    """Read a page row by row: one that is junk must not hide hundreds of others."""
+    """Decode a page of the list; ProtocolError if it is malformed as a whole.
+
+    Row by row: one that is malformed must not hide hundreds of others.
+    """
     page = decode_as(_list, body)
     machines = []
     for row in page.rows:
@@ -109,10 +129,12 @@
 
 
 def decode_rented(body: bytes) -> list[str]:
+    """Decode the names of machines that were rented; ProtocolError if malformed."""
     return decode_as(_rented, body).machines
 
 
 def rent_body(request: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """Body of a request to rent; ``request`` identifies it, so that a repetition rents once."""
     return {
         "hire": request,
         "rig_kind": machine_type,
@@ -123,9 +145,11 @@
 
 
 def delete_body(machines: list[str]) -> dict[str, Any]:
+    """Body of a request to delete machines."""
     return {"rigs": machines}
 
 
 def list_path(after: str) -> str:
+    """Path of the page that follows a machine's name; of the first one after ``""``."""
     query = f"after={after}&" if after else ""
     return f"/machines?{query}limit={MAX_LIST}"
--- a/appleshift/protocol/users.py
+++ b/appleshift/protocol/users.py
@@ -1,4 +1,4 @@
-"""Messages between users and controller nodes."""
+"""Messages between users and controller nodes. ``rename`` maps to wire names."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 SERVICE: Shape = "daemon"
 
 RANKS: dict[str, int] = {"critical": 0, "high": 1, "standard": 2, "low": 3}
-"""Priorities as ranks; a smaller rank goes first."""
+"""Priorities as ranks; a smaller rank is placed first."""
 
 PENDING = "pending"
 RUNNING = "running"
@@ -26,6 +26,7 @@
 CANCELLED = "aborted"
 
 MAX_TASKS = 100_000
+"""Most tasks of one job."""
 _ID_FORM = re.compile(r"job-[0-9]{6,20}", re.ASCII)
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
@@ -55,7 +56,11 @@
         "counted_resources": "seats",
     },
 ):
-    """A job as its user describes it."""
+    """A job as its user describes it.
+
+    ``cpus``, ``gpus`` and ``memory_gb`` (gigabytes) are for each task; names that end in
+    ``_s`` are seconds, ``image_gb`` is the size of the image in gigabytes.
+    """
 
     id: Name
     job_class: Name
@@ -73,7 +78,9 @@
     spot: bool
     estimate_s: Amount
     checkpoint_s: Amount
+    """Seconds between two checkpoints."""
     save_s: Amount
+    """Seconds that writing a checkpoint takes."""
     types: Annotated[list[Name], msgspec.Meta(max_length=1000)] | None = None
     zone: Name | None = None
     deadline_s: Amount | None = None
@@ -87,11 +94,12 @@
 
 
 def valid_id(job_id: str) -> bool:
+    """Whether a job's id has the form that is accepted."""
     return _ID_FORM.fullmatch(job_id) is not None
 
 
 def decode_submission(body: bytes) -> Submission:
-    """A submission whose form is right, or ProtocolError 400."""
+    """Decode a submission; ProtocolError 400 if it is malformed."""
     job = decode_as(_submission, body)
     if not valid_id(job.id):
         raise ProtocolError(400, "not a job id")
@@ -104,12 +112,15 @@
 
 
 def status_body(job_id: str, status: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+    """Body that shows a job, with the numbers of tasks that are done and that run."""
     return {"name_id": job_id, "status": status, "done": done, "running": running}
 
 
 def state_body(job_id: str, status: str) -> dict[str, Any]:
+    """Body that confirms a submission or cancellation."""
     return {"name_id": job_id, "status": status}
 
 
 def error_body(reason: str) -> dict[str, Any]:
+    """Body of a refusal."""
     return {"error": reason}
--- a/appleshift/protocol/workers.py
+++ b/appleshift/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Messages between workers and controller nodes."""
+"""Messages between workers and controller nodes. ``rename`` maps to wire names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 EXITED = "exited"
 
 HEARTBEAT_TIMEOUT_S = 4.0
-"""So long does a worker wait for the answer to a report; then it tries the next node."""
+"""Seconds for which a worker waits for the response to a heartbeat; then it tries the next node."""
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -25,13 +25,14 @@
     frozen=True,
     rename={"task": "piece", "attempt": "try", "state": "status", "exit_reason": "cause"},
 ):
-    """One task as its worker sees it."""
+    """The state of a task attempt at its worker."""
 
     task: str
     attempt: Count
     state: str
     exit_reason: str | None = None
     saved: bool | None = None
+    """Whether its last checkpoint was written before it ended."""
 
 
 class Heartbeat(
@@ -49,7 +50,7 @@
         "reclaim_in_s": "recall_in_s",
     },
 ):
-    """All that a worker knows; the larger (session, seq) is the newer."""
+    """The state of a worker. Of two, that with the larger (``agent_epoch``, ``seq``) is newer."""
 
     machine: str
     addr: str
@@ -57,10 +58,13 @@
     zone: str
     spot: bool
     agent_epoch: Count
+    """Larger at each start of the worker's agent."""
     seq: Count
     fencing_token: Count
+    """The highest that the worker has received."""
     tasks: list[TaskStatus]
     reclaim_in_s: float | None = None
+    """Seconds until the cloud takes a spot instance back, once it has announced that."""
 
 
 class HeartbeatHeader(
@@ -77,7 +81,7 @@
         "reclaim_in_s": "recall_in_s",
     },
 ):
-    """A report at a glance: its tasks are not looked into."""
+    """A heartbeat decoded in part: its tasks stay encoded."""
 
     machine: str
     type: str
@@ -93,37 +97,42 @@
 
 
 def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
+    """Decode a heartbeat without its tasks; ProtocolError if malformed."""
     return decode_as(_header_decoder, body)
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
+    """Decode a whole heartbeat; ProtocolError if malformed."""
     return decode_as(_heartbeat_decoder, body)
 
 
 def start_command(task: str, attempt: int) -> dict[str, Any]:
+    """Command to start a task attempt."""
     return {"verb": "run", "piece": task, "try": attempt}
 
 
 def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+    """Command to stop a task attempt, which has ``grace_s`` seconds to write a checkpoint."""
     return {"verb": "kill", "piece": task, "try": attempt, "wind_down_s": grace_s}
 
 
 def clear_command(task: str, attempt: int) -> dict[str, Any]:
+    """Command to forget a task attempt that has ended."""
     return {"verb": "clear", "piece": task, "try": attempt}
 
 
 def heartbeat_response(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """What a report is answered with."""
+    """Body of the response to a heartbeat."""
     return {"baton": fencing_token, "orders": commands}
 
 
 def direct_command_body(
     fencing_token: int, agent_epoch: int, commands: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Body of a direct command."""
+    """Body of a request that sends commands to a worker between its heartbeats."""
     return {"baton": fencing_token, "shift": agent_epoch, "orders": commands}
 
 
 def redirect_body(leader: str | None) -> dict[str, Any]:
-    """Sends a worker to the leader; an unknown leader is left out."""
+    """Body that redirects a worker to the leader, which is left out if it is not known."""
     return {} if leader is None else {"foreman": leader}
