--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -9,7 +9,7 @@
 from appleshift.protocol.wire import ProtocolError, decode_as
 
 FAILED = "failed"
-"""State of a machine that the cloud lists but that will never work."""
+"""State of a machine that stopped on its own; it stays listed until it is deleted."""
 
 MAX_RENT = 50
 """Most machines that one request may rent."""
@@ -38,7 +38,8 @@
     """A type of machine that can be rented, with its prices at present.
 
     Prices are per hour, ``memory_gb`` and ``cache_gb`` in gigabytes, ``boot_s`` in seconds
-    from the request until it works; ``fetch_gb_per_s`` is the rate at which it loads images.
+    from the request until it usually works; ``fetch_gb_per_s`` is the rate
+    at which it fetches images.
     """
 
     name: str
@@ -78,7 +79,7 @@
     spot: bool
     state: str
     age_s: float
-    """Seconds since it was rented."""
+    """Seconds since the request to rent it, as of the time that the list describes."""
     addr: str = ""
     """``host:port`` of its worker; empty while it has none."""
 
--- a/appleshift/protocol/counted_resources.py
+++ b/appleshift/protocol/counted_resources.py
@@ -1,7 +1,7 @@
 """Counted resources as operators define them and as users ask for them.
 
-The definitions stand in the operators' file (``protocol/operator.py``) and are
-written to the log, so that every leader counts alike whatever file it has.
+Operators define them in their settings (``protocol/operator.py``). Definitions are written to
+the log, so that all leaders count alike whichever settings they have.
 """
 
 from __future__ import annotations
@@ -15,20 +15,26 @@
 from appleshift.protocol.wire import ProtocolError
 
 MAX_RESOURCES = 64
+"""Most resources that may be defined."""
 MAX_COUNT = 1_000_000
+"""Largest total of a resource."""
 MAX_ASKED = 16
 """Most resources that one submission may name."""
+_RECORD_OVERHEAD_BYTES = 400
+"""Left free in the stored value that holds a definition, for the record around it."""
 _NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,39}", re.ASCII)
 
 BLOCK, TRUST = "BLOCK", "TRUST"
+"""Values of ``LicenseServer.on_silence``."""
 KEEP, STOP = "KEEP", "STOP"
+"""Values of ``CountedResourceDefinition.when_lowered``."""
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 _Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
 
 
 class TeamAllotment(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A team's share of one resource; 0 means none, as for CPUs."""
+    """A team's quota of one resource: limit and guarantee; 0 means none, as for CPUs."""
 
     name: str
     most: Count = 0
@@ -36,41 +42,41 @@
 
 
 class LicenseServer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Who hands the seats out in the end, and whom others ask as well."""
+    """The external server that grants licences, to this cluster and to others."""
 
     address: str
     ask_s: _Seconds = 5.0
-    """Seconds between two looks at it; what changes is told sooner."""
+    """Seconds between two heartbeats to it; changes are sent sooner."""
     silent_s: _Seconds = 30.0
-    """After so many seconds without an answer nothing new is granted."""
+    """Seconds without an answer after which ``on_silence`` applies."""
     on_silence: Literal["BLOCK", "TRUST"] = "BLOCK"
-    """TRUST grants on within the last known figure instead."""
+    """BLOCK grants nothing more; TRUST grants on within the last count that was received."""
 
 
 class CountedResourceDefinition(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One counted resource."""
+    """One counted resource as its operators define it."""
 
     name: str
     total: Count
     teams: tuple[TeamAllotment, ...] = ()
     server: LicenseServer | None = None
     when_lowered: Literal["KEEP", "STOP"] = KEEP  # type: ignore[assignment]
-    """What becomes of work beyond a total that was lowered."""
+    """Whether tasks beyond a lowered total go on or are stopped."""
 
 
 class CountedResourceRules(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What holds for all counted resources. Durations are in seconds."""
+    """Rules for all counted resources. Durations are in seconds."""
 
     off: bool = False
-    """Count nothing any more, whatever the log says."""
+    """Stop counting, whatever the log has recorded."""
     starve_s: _Seconds = 60.0
-    """Work that lacked seats for so long has those kept that fall free."""
+    """Seconds for which a job waits before released units are kept back for it."""
     history_pages: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 1000
-    """Pages of the audit that are kept in the state service."""
+    """Pages of the audit log that are kept in the key-value store."""
 
 
 def check_definition(definition: CountedResourceDefinition) -> None:
-    """ValueError says what of a single definition cannot be used."""
+    """Check one definition by itself; ValueError with the reason if it cannot be used."""
     if not _NAME.fullmatch(definition.name):
         raise ValueError("a name is 1 to 40 of a-z, 0-9, '.', '_' and '-'")
     if definition.server is not None:
@@ -91,34 +97,36 @@
 def check_definitions(
     definitions: tuple[CountedResourceDefinition, ...], teams: list[TeamLimits], value_bytes: int
 ) -> tuple[str, str] | None:
-    """What does not go with the platform's settings, as (the text at fault, reason)."""
-    known = {team.name for team in teams}
+    """Check all definitions together; the first (name at fault, reason), None without any."""
+    team_names = {team.name for team in teams}
     if len(definitions) > MAX_RESOURCES:
         return definitions[MAX_RESOURCES].name, f"more than {MAX_RESOURCES} resources"
-    seen = set()
+    listed_teams = ", ".join(sorted(team_names)) or "none"
+    resource_names = set()
     for definition in definitions:
-        if definition.name in seen:
+        if definition.name in resource_names:
             return definition.name, "two resources have this name"
-        seen.add(definition.name)
+        resource_names.add(definition.name)
         for team in definition.teams:
-            if team.name not in known:
-                return team.name, f"no such team; there are: {', '.join(sorted(known)) or 'none'}"
-        if len(msgspec.json.encode(definition)) > value_bytes - 400:
+            if team.name not in team_names:
+                return team.name, f"no such team; there are: {listed_teams}"
+        if len(msgspec.json.encode(definition)) > value_bytes - _RECORD_OVERHEAD_BYTES:
             return definition.name, "too long for one value of the state service"
     return None
 
 
 def to_record(definition: CountedResourceDefinition) -> dict[str, Any]:
-    """A definition as it stands in the log."""
+    """Convert a definition for the log."""
     record: dict[str, Any] = msgspec.to_builtins(definition)
     return record
 
 
 def from_record(record: Any) -> CountedResourceDefinition:
+    """Convert a definition from the log; msgspec.ValidationError if it is none."""
     return msgspec.convert(record, CountedResourceDefinition)
 
 
-class _Asked(msgspec.Struct, frozen=True):
+class _RequestedCounts(msgspec.Struct, frozen=True):
     seats: Annotated[
         dict[
             Annotated[str, msgspec.Meta(max_length=40)],
@@ -129,10 +137,10 @@
 
 
 def requested_counts(field: Any) -> dict[str, int]:
-    """The ``seats`` field of a submission, or ProtocolError 400."""
+    """Check the ``seats`` field of a submission: name -> count; ProtocolError 400 if malformed."""
     if field is None:
         return {}
     try:
-        return msgspec.convert({"seats": field}, _Asked).seats
+        return msgspec.convert({"seats": field}, _RequestedCounts).seats
     except msgspec.ValidationError as error:
-        raise ProtocolError(400, f"seats: {error}") from None
+        raise ProtocolError(400, f"seats: {error}", _RequestedCounts) from error
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -1,4 +1,7 @@
-"""Messages between controller nodes: pledges and forwarded requests."""
+"""Messages between controller nodes: votes, status, connectivity, relayed heartbeats.
+
+``rename`` maps to wire names.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 CONNECTIVITY_PATH = "/peer/reach"
 HEARTBEAT_BATCH_PATH = "/peer/reports"
 MAX_BATCHED_HEARTBEATS = 10_000
-"""In one batch; what really bounds it is the size of a request's body."""
+"""Most heartbeats in one batch; in practice the size of a request's body bounds it."""
 
 
 class LeaseVoteRequest(
@@ -26,7 +29,7 @@
         "process_id": "process",
     },
 ):
-    """The leader asks a sibling not to stand for election for a while."""
+    """The leader asks a peer for a vote: not to stand for election for ``duration_s`` seconds."""
 
     leader: str
     fencing_token: int
@@ -34,24 +37,25 @@
     duration_s: float
     shard: int = 0
     process_id: str = ""
-    """Of the process that asks, not of the node: one that ended and was started again
-    within a moment must not be bound, nor bind others, by what the earlier one sent."""
+    """Identifies the process that asks, not its node: a process that is restarted within a
+    moment must neither be bound, nor bind others, by what its predecessor sent."""
 
 
 class LeaseVote(msgspec.Struct, frozen=True, rename={"granted": "given", "process_id": "process"}):
-    """The answer to it."""
+    """The answer to a request for a vote."""
 
     granted: bool
     process_id: str = ""
-    """Which process of that node answers; of an older version: empty."""
+    """Identifies the process that answers; empty from an older version."""
 
 
 class HeldShard(msgspec.Struct, frozen=True, rename={"shard": "share", "fencing_token": "token"}):
-    """A share that a node holds."""
+    """A shard that a node holds."""
 
     shard: int
     fencing_token: int
     entitled: bool
+    """It may answer for the shard right now."""
 
 
 class PeerConnectivity(
@@ -63,14 +67,14 @@
         "store_answers": "state",
     },
 ):
-    """What a node reaches, by its own measure."""
+    """What a node can connect to, as it measures itself."""
 
     worker_contact_age_s: float
-    """Since a worker last reported to it or answered it; negative: none has yet."""
+    """Seconds since a worker last sent or answered anything; negative: none has yet."""
     uninterrupted_s: float
-    """For how long that has been so without a break."""
+    """Seconds for which workers have been in contact without a break."""
     store_answers: bool
-    """The state service answered it when it was asked last."""
+    """The key-value store answered the last request."""
 
 
 class PeerStatus(
@@ -88,54 +92,57 @@
         "shard_map_version": "map_version",
     },
 ):
-    """What a sibling says of itself."""
+    """The state of a node, which it sends to its peers."""
 
     name: str
     leading: bool
     fencing_token: int
     entitled: bool = False
-    """It may answer for the controllers right now."""
+    """It may answer requests as the leader right now."""
     relayed_fraction: float = 0.0
-    """Of a leader: the share of the machines whose reports go to other nodes."""
+    """Of a leader: fraction of the machines that send their heartbeats to other nodes."""
     is_relay: bool = False
-    """It reaches the leader and passes reports on."""
+    """It reaches the leader and relays heartbeats."""
     held_shards: list[HeldShard] = []
-    """Of shares beyond the first: those that it holds. The fields above are the
-    first one's, as they were before there were others."""
+    """Shards that it holds beyond the first one, which the fields above describe."""
     shard_map_version: int = 0
-    """Of the map of shares that it goes by; 0: it knows of none."""
+    """Version of the shard map that it follows; 0: it has none."""
     preferred_holders: list[str] = []
-    """Of a leader: the node that is to hold each share, "" for any."""
+    """Of a leader: the node that is to hold each shard; "" for any."""
     process_id: str = ""
-    """Chosen anew at each start: which process of that node says so."""
+    """Identifies the process that sends it; another one after each start."""
     connectivity: PeerConnectivity | None = None
     worker_sample: list[str] = []
-    """Of a leader: addresses of workers that others may ask whether they reach any."""
+    """Of a leader: addresses of workers to which other nodes may test their connectivity."""
 
 
 class ConnectivityRequest(msgspec.Struct, frozen=True):
-    """A leader that no worker answers asks whether others reach some of them."""
+    """A leader that no worker answers asks whether a peer reaches some of them."""
 
     addresses: Annotated[list[str], msgspec.Meta(max_length=8)]
 
 
 class ConnectivityReply(msgspec.Struct, frozen=True):
+    """Whether the peer reaches any of them."""
+
     reached: bool
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True, rename={"heartbeats": "reports"}):
-    """Workers' reports, each as its worker sent it."""
+    """Heartbeats that a relay passes on, each as its worker sent it."""
 
     heartbeats: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MAX_BATCHED_HEARTBEATS)]
 
 
 class RelayedResponse(msgspec.Struct, frozen=True):
+    """The response to one heartbeat; ``status`` is that of HTTP."""
+
     status: int
     body: msgspec.Raw
 
 
 class HeartbeatResponses(msgspec.Struct, frozen=True, rename={"responses": "answers"}):
-    """The leader's answers, in the order of the reports."""
+    """The leader's responses, in the order of the heartbeats."""
 
     responses: list[RelayedResponse]
 
@@ -150,28 +157,35 @@
 
 
 def decode_lease_vote_request(body: bytes) -> LeaseVoteRequest:
+    """Decode a request for a vote; ProtocolError if malformed."""
     return decode_as(_lease_vote_request_decoder, body)
 
 
 def decode_lease_vote(body: bytes) -> LeaseVote:
+    """Decode a vote; ProtocolError if malformed."""
     return decode_as(_lease_vote_decoder, body)
 
 
 def decode_peer_status(body: bytes) -> PeerStatus:
+    """Decode a node's status; ProtocolError if malformed."""
     return decode_as(_peer_status_decoder, body)
 
 
 def decode_connectivity_request(body: bytes) -> ConnectivityRequest:
+    """Decode a request for a connectivity test; ProtocolError if malformed."""
     return decode_as(_connectivity_request_decoder, body)
 
 
 def decode_connectivity_reply(body: bytes) -> ConnectivityReply:
+    """Decode the result of a connectivity test; ProtocolError if malformed."""
     return decode_as(_connectivity_reply_decoder, body)
 
 
 def decode_heartbeat_batch(body: bytes) -> HeartbeatBatch:
+    """Decode relayed heartbeats; ProtocolError if malformed."""
     return decode_as(_heartbeat_batch_decoder, body)
 
 
 def decode_heartbeat_responses(body: bytes) -> HeartbeatResponses:
+    """Decode the responses to relayed heartbeats; ProtocolError if malformed."""
     return decode_as(_heartbeat_responses_decoder, body)
--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -1,4 +1,7 @@
-"""Messages between the holders of shares, and the map of shares in the state service."""
+"""Messages between the holders of shards, and the shard map in the key-value store.
+
+``rename`` and ``tag`` map to wire names.
+"""
 
 from __future__ import annotations
 
@@ -13,47 +16,49 @@
 SHARD_CALL_PATH = "/peer/share"
 SHARD_MAP_KEY = "shares"
 MAX_SHARDS = 64
+"""Most shards that a map may have."""
 
 GONE, UP, LEAVING, MOVED = range(4)
-"""What a holder says of a machine: it is no more, it works, it takes no new work, it
-was handed on to another share."""
+"""State of a machine at its shard's holder: it no longer exists, it works, it takes no new
+work, it was transferred to another shard."""
 
 
 class ShardMapEpoch(msgspec.Struct, frozen=True):
-    """Which share has what, of all that came after a machine's name."""
+    """Which shard has which machines and jobs, of those after a machine's name."""
 
     count: int
+    """Number of shards."""
     after: str = ""
-    """Machines with larger names, which were rented later, go by this epoch."""
+    """This epoch is for machines with larger names, which were rented later."""
     cards: list[str] = []
-    """Machine types with GPUs: all of them belong to the first share."""
+    """Machine types with GPUs: all of them belong to the first shard."""
     plain: list[int] = msgspec.field(default_factory=lambda: [0])
-    """Shares that divide the other machines among them."""
+    """Shards among which the other machines are divided."""
     homes: list[int] = msgspec.field(default_factory=lambda: [0])
-    """Those of them that are given new jobs; the others end what they have."""
+    """Those of them that are given new jobs; the others finish what they have."""
 
 
 class ShardMapValue(msgspec.Struct, frozen=True):
-    """Value of the map's key."""
+    """Value of the key ``SHARD_MAP_KEY``."""
 
     epochs: list[ShardMapEpoch]
     changing: bool = False
-    """While it changes nobody but the leader holds a share."""
+    """While the map changes, nobody but the leader holds a shard."""
     mark: str = ""
 
 
 class ArrayPartition(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of an array that another share is to run."""
+    """Consecutive tasks of a job array that another shard is to run."""
 
     start: int
     count: int
     submitted: float
-    """Time of day of the job's submission."""
+    """Time of day of the job's submission, in seconds since 1970."""
     spec: Submission
 
 
 class TransferredMachine(msgspec.Struct, frozen=True, array_like=True):
-    """A machine without any task, and what its new holder must know."""
+    """A machine without any task that moves to another shard."""
 
     name: str
     addr: str
@@ -61,9 +66,9 @@
     zone: str
     spot: bool
     moves: int
-    """Which hand-over it is: an earlier one that arrives late changes nothing."""
+    """Counts its transfers: an earlier one that arrives late must not change anything."""
     token: int
-    """The highest that its worker may have seen."""
+    """The highest fencing token that its worker may have received."""
 
 
 class PartitionRequest(
@@ -77,39 +82,41 @@
         "status_of": "wanted",
     },
 ):
-    """About jobs of which the asked share runs a portion; may be repeated at will."""
+    """About jobs of which the receiving shard runs a partition; idempotent."""
 
     shard: int
     partitions: list[ArrayPartition] = []
-    """To be taken, if they are not known yet."""
+    """To be accepted, unless they were already."""
     cancelled: list[str] = []
-    """Jobs whose portion is to end for good, whether it has come or not."""
+    """Jobs whose partition is to be cancelled for good, whether it has arrived or not."""
     status_of: list[str] = []
-    """Jobs whose portion's progress is to be told."""
+    """Jobs whose partition's status is to be returned."""
     machines: list[TransferredMachine] = []
-    """Machines that were handed on to the asked share."""
+    """Machines that are transferred to the receiving shard."""
 
 
 class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
-    """How a portion stands. All of it is durable."""
+    """The progress of a partition. All of it is durable."""
 
     id: str
     state: int
-    """``OPEN``, ``FINISHED`` or ``CANCELLED`` as in the tables; unless it is open,
-    nothing of it will ever start there any more."""
+    """``OPEN``, ``FINISHED`` or ``CANCELLED`` as in the cluster state; unless it is open,
+    none of its tasks will ever start there again."""
     done: list[int]
     """If it is open: numbers of the tasks that are done, as ranges."""
     running: int = 0
 
 
 class PartitionReply(msgspec.Struct, frozen=True, tag="told", rename={"statuses": "standings"}):
+    """The answer to a ``PartitionRequest``."""
+
     statuses: list[PartitionStatus]
     machines: list[str] = []
-    """Those of the machines handed on that are this share's by now, or were."""
+    """Those of the transferred machines that are this shard's by now, or were."""
 
 
 class MachineSummary(msgspec.Struct, frozen=True, array_like=True):
-    """A machine as its share's holder sees it."""
+    """A machine's state at its shard's holder."""
 
     name: str
     kind: str
@@ -120,7 +127,7 @@
 
 
 class UnmetNeed(msgspec.Struct, frozen=True, array_like=True):
-    """Work that no machine of the share can ever take."""
+    """Tasks for which the shard has no machine; memory in gigabytes, for each task."""
 
     cpus: float
     gpus: float
@@ -143,20 +150,21 @@
         "shortages": "lacking",
     },
 ):
-    """What the leader must know of a share in order to rent for it."""
+    """The state of a shard that the leader needs to scale the fleet for it."""
 
     shard: int
     fencing_token: int
     seq: int
     machines: list[MachineSummary]
-    """Those of which something has changed since the last one."""
+    """Machines of which something has changed since the last summary."""
     capacity_needed: list[list[list[float]]]
-    """By pool, without and with GPUs: CPUs, GPUs and GB needed in all, and without spot."""
+    """By pool, without and with GPUs: CPUs, GPUs and gigabytes needed in all, and without spot."""
     unplaceable: list[UnmetNeed]
+    """Work that no machine of the shard can ever run."""
     shortages: list[UnmetNeed]
-    """Work that finds no room right now."""
+    """Work for which there is no room right now."""
     evicted: list[tuple[str, str]]
-    """Spot markets, as (type, zone), that took a machine back."""
+    """Spot markets, as (type, zone), that reclaimed a machine."""
     jobs: int = 0
     waiting: int = 0
 
@@ -172,16 +180,16 @@
         "transfers": "hand_on",
     },
 ):
-    """The leader's answer to a digest."""
+    """The leader's answer to a ``ShardSummary``."""
 
     fencing_token: int
     types: list[MachineType]
     return_machines: list[str]
     """Idle machines that are not needed any more."""
     on_demand_spare: float
-    """Steady capacity of this share that is not needed, in steady machines."""
+    """On-demand capacity of this shard that is not needed, in on-demand machines."""
     transfers: list[tuple[str, int]] = []
-    """Idle machines that other shares need more: name and share."""
+    """Idle machines that other shards need more: name and shard."""
 
 
 ShardRequest = PartitionRequest | ShardSummary
@@ -189,25 +197,29 @@
 
 
 class ShardCall(msgspec.Struct, frozen=True, rename={"target_shard": "to"}):
+    """A message to the holder of a shard."""
+
     target_shard: int
     message: ShardRequest
 
 
-_call = msgspec.msgpack.Decoder(ShardCall)
-_answer: msgspec.msgpack.Decoder[ShardReply] = msgspec.msgpack.Decoder(ShardReply)
+_call_decoder = msgspec.msgpack.Decoder(ShardCall)
+_answer_decoder: msgspec.msgpack.Decoder[ShardReply] = msgspec.msgpack.Decoder(ShardReply)
 
 
 def decode_call(body: bytes) -> ShardCall:
-    return decode_as(_call, body)
+    """Decode a message to a shard's holder; ProtocolError if malformed."""
+    return decode_as(_call_decoder, body)
 
 
 def decode_answer(body: bytes) -> ShardReply:
-    return decode_as(_answer, body)
+    """Decode a shard holder's answer; ProtocolError if malformed."""
+    return decode_as(_answer_decoder, body)
 
 
 def decode_shard_map(value: Any) -> ShardMapValue:
-    """The map as it stands in the state service; ProtocolError if it is none."""
+    """Convert the value of ``SHARD_MAP_KEY``; ProtocolError if it is not a shard map."""
     try:
         return msgspec.convert(value, ShardMapValue)
     except msgspec.ValidationError as error:
-        raise ProtocolError(400, f"map of shares: {error}") from None
+        raise ProtocolError(400, f"map of shares: {error}", ShardMapValue) from error
--- a/appleshift/protocol/workers.py
+++ b/appleshift/protocol/workers.py
@@ -32,7 +32,7 @@
     state: str
     exit_reason: str | None = None
     saved: bool | None = None
-    """Whether its last checkpoint was written before it ended."""
+    """Of a task that was stopped by command: whether its progress was saved."""
 
 
 class Heartbeat(
@@ -58,10 +58,10 @@
     zone: str
     spot: bool
     agent_epoch: Count
-    """Larger at each start of the worker's agent."""
+    """Starts at 1 and is raised whenever the worker's lease expires."""
     seq: Count
     fencing_token: Count
-    """The highest that the worker has received."""
+    """The highest fencing token that the worker has received."""
     tasks: list[TaskStatus]
     reclaim_in_s: float | None = None
     """Seconds until the cloud takes a spot instance back, once it has announced that."""
