--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -1,8 +1,8 @@
 """Operators' own settings, in protobuf text format.
 
-The message is described here rather than in a generated module, so that the
-defaults, the bounds and the field names stand in one place. protobuf is only
-loaded when a file is given: it takes long to start on a small share of a core.
+The message is described here rather than in a generated module, so that the defaults, the
+bounds and the field names stand in one place. protobuf is only imported when a file is given:
+that takes long on a small fraction of a core.
 """
 
 from __future__ import annotations
@@ -21,19 +21,25 @@
         CountedResourceRules,
     )
 
+_Place = tuple[Path, int]
+"""A file and a line in it, from 1."""
+
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """The policy's knobs. Durations are in seconds."""
+    """The operators' settings. Names that end in ``_s`` are seconds.
+
+    ``deploy/operator.textproto`` describes each field; names are those of the files.
+    """
 
-    # The paper's plan.
+    # The fleet plan.
     spare_groups: int = 1
     max_groups: int = 8
     floor_share: float = 0.0
     review_s: float = 10.0
     regroup_s: float = 1800.0
     evict_pause_s: float = 20.0
-    # Renting and returning.
+    # Scaling out and in.
     idle_steady_s: float = 30.0
     idle_cards_s: float = 25.0
     idle_spot_s: float = 30.0
@@ -54,7 +60,7 @@
     silent_s: float = 3.0
     sick_jobs: int = 2
     spread_reports: bool = True
-    # Shares of the machines among the nodes; 0 leaves them as they are.
+    # Number of shards; 0 leaves the shard map as it is.
     shares: int = 0
     # Order among jobs.
     preempt: bool = True
@@ -88,9 +94,10 @@
     "sick_jobs": (1, 100),
     "shares": (0, 64),
 }
-
+"""Least and largest value of each numeric setting."""
 
 _NESTED = {"seats": "SeatDefinition", "seat_rules": "SeatRules"}
+"""Settings that are messages themselves, with their types."""
 _TEAM, _SERVER, _DEFINITION, _RULES = "TeamSeats", "LicenceServer", "SeatDefinition", "SeatRules"
 _SEAT_MESSAGES: dict[str, dict[str, str]] = {
     _TEAM: {"name": "str", "most": "int", "guarantee": "int"},
@@ -104,11 +111,12 @@
     },
     _RULES: {"off": "bool", "starve_s": "float", "history_pages": "int"},
 }
+"""Types of the messages' fields by name; ``*`` marks repeated ones."""
 _SEAT_ENUMS = {"Silence": ["BLOCK", "TRUST"], "Lowered": ["KEEP", "STOP"]}
 
 
-def _add_seats(file: Any, kinds: dict[str, Any]) -> None:
-    """The messages of counted resources, with the fields that Structs of
+def _add_counted_resources(file: Any, scalar_types: dict[str, Any]) -> None:
+    """Add the messages of counted resources, with the fields that the structs of
     ``protocol/counted_resources.py`` have."""
     from google.protobuf.descriptor_pb2 import FieldDescriptorProto as Field
 
@@ -116,24 +124,24 @@
         enum = file.enum_type.add(name=name)
         for number, value in enumerate(values):
             enum.value.add(name=value, number=number)
-    for name, parts in _SEAT_MESSAGES.items():
+    for name, fields_of_message in _SEAT_MESSAGES.items():
         message = file.message_type.add(name=name)
-        for number, (part, kind) in enumerate(parts.items(), start=1):
-            field = message.field.add(name=part, number=number)
-            field.label = Field.LABEL_REPEATED if kind[0] == "*" else Field.LABEL_OPTIONAL
-            kind = kind.lstrip("*")
-            if kind in kinds:
-                field.type = kinds[kind]
+        for number, (field_name, type_name) in enumerate(fields_of_message.items(), start=1):
+            field = message.field.add(name=field_name, number=number)
+            field.label = Field.LABEL_REPEATED if type_name[0] == "*" else Field.LABEL_OPTIONAL
+            type_name = type_name.lstrip("*")
+            if type_name in scalar_types:
+                field.type = scalar_types[type_name]
             else:
-                field.type = Field.TYPE_ENUM if kind in _SEAT_ENUMS else Field.TYPE_MESSAGE
-                field.type_name = f".appleshift.{kind}"
+                field.type = Field.TYPE_ENUM if type_name in _SEAT_ENUMS else Field.TYPE_MESSAGE
+                field.type_name = f".appleshift.{type_name}"
 
 
 def _message_class() -> Any:
-    """Build the protobuf message from the fields above."""
+    """Build the protobuf message class from the fields above."""
     from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
-    kinds = {
+    scalar_types = {
         "int": descriptor_pb2.FieldDescriptorProto.TYPE_INT64,
         "float": descriptor_pb2.FieldDescriptorProto.TYPE_DOUBLE,
         "bool": descriptor_pb2.FieldDescriptorProto.TYPE_BOOL,
@@ -142,21 +150,21 @@
     file = descriptor_pb2.FileDescriptorProto(
         name="appleshift/operator.proto", package="appleshift", syntax="proto2"
     )
-    _add_seats(file, kinds)
+    _add_counted_resources(file, scalar_types)
     message = file.message_type.add(name="OperatorSettings")
     for number, field in enumerate(fields(OperatorSettings), start=1):
-        made = message.field.add(
+        described = message.field.add(
             name=field.name,
             number=number,
             label=descriptor_pb2.FieldDescriptorProto.LABEL_OPTIONAL,
         )
         if field.name in _NESTED:
-            made.type = made.TYPE_MESSAGE
-            made.type_name = f".appleshift.{_NESTED[field.name]}"
+            described.type = described.TYPE_MESSAGE
+            described.type_name = f".appleshift.{_NESTED[field.name]}"
             if field.name == "seats":
-                made.label = made.LABEL_REPEATED
+                described.label = described.LABEL_REPEATED
         else:
-            made.type = kinds[str(field.type)]
+            described.type = scalar_types[str(field.type)]
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return message_factory.GetMessageClass(
@@ -164,20 +172,56 @@
     )
 
 
-def _check(settings: OperatorSettings, lines: dict[str, int]) -> None:
-    def refuse(name: str, reason: str) -> None:
-        raise ValueError(f"{lines.get(name, 1)}: {name}: {reason}")
+class _FieldError(ValueError):
+    """A setting has a value that cannot be used."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        super().__init__(f"{field}: {reason}")
+        self.field = field
+        self.reason = reason
+
+
+class _Locations:
+    """Where fields and quoted texts stand in the operators' files; later ones replace earlier."""
+
+    def __init__(self, last_file: Path) -> None:
+        self._places: dict[str, _Place] = {}
+        self._default: _Place = (last_file, 1)
+
+    def add(self, path: Path, text: str) -> None:
+        """Take in the lines of a file."""
+        for number, line in enumerate(text.splitlines(), start=1):
+            self._places[line.split(":", 1)[0].strip()] = (path, number)
+            for quoted in line.split('"')[1::2]:
+                self._places[f'"{quoted}"'] = (path, number)
+
+    def error(self, field: str, reason: str) -> SettingsError:
+        """Refuse the value of a field."""
+        return _error_at(self._places.get(field, self._default), field, reason)
+
+    def error_at_text(self, text: str, reason: str) -> SettingsError:
+        """Refuse a text, quoted in the files or else the name of a field."""
+        place = self._places.get(f'"{text}"', self._places.get(text, self._default))
+        return _error_at(place, text, reason)
 
+
+def _error_at(place: _Place, field: str, reason: str) -> SettingsError:
+    path, line = place
+    return SettingsError(f"{path}:{line}: {field}: {reason}", path, line, field)
+
+
+def _check(settings: OperatorSettings) -> None:
+    """_FieldError for the first value that cannot be used."""
     for name, (low, high) in _BOUNDS.items():
         value = getattr(settings, name)
         if not math.isfinite(value) or not low <= value <= high:
-            refuse(name, f"must lie between {low} and {high}, not {value}")
+            raise _FieldError(name, f"must lie between {low} and {high}, not {value}")
     if settings.max_groups <= settings.spare_groups:
-        refuse("max_groups", "must be above spare_groups")
+        raise _FieldError("max_groups", "must be above spare_groups")
     if settings.renew_s * 2 > settings.leader_lease_s:
-        refuse("renew_s", "must be at most half of leader_lease_s")
+        raise _FieldError("renew_s", "must be at most half of leader_lease_s")
     if settings.pledge_s <= settings.leader_lease_s:
-        refuse("pledge_s", "must be above leader_lease_s")
+        raise _FieldError("pledge_s", "must be above leader_lease_s")
 
 
 def load_operator_settings(
@@ -191,91 +235,89 @@
     files = [paths] if isinstance(paths, Path) else list(paths or ())
     if not files:
         return OperatorSettings()
+    locations = _Locations(files[-1])
+    message = _read_files(files, locations)
+    values = {descriptor.name: value for descriptor, value in message.ListFields()}
+    definitions, rules = values.pop("seats", ()), values.pop("seat_rules", None)
+    settings = OperatorSettings(**values)
+    try:
+        _check(settings)
+    except _FieldError as error:
+        raise locations.error(error.field, error.reason) from error
+    if definitions or rules is not None:
+        settings = _with_counted_resources(settings, definitions, rules, locations, platform)
+    return settings
+
+
+def _read_files(files: Sequence[Path], locations: _Locations) -> Any:
+    """Parse the files into one message; SettingsError for one that cannot be parsed."""
     from google.protobuf import text_format
 
-    kind = _message_class()
-    message = kind()
-    where: dict[str, tuple[Path, int]] = {}
+    message_class = _message_class()
+    message = message_class()
     for path in files:
         try:
             text = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            raise SettingsError(f"{path}: {error}") from None
+            raise SettingsError(f"{path}: {error}", path) from error
         try:
-            # Each file by itself: a field given twice in one is a mistake, a
-            # later file's word on it is not.
-            message.MergeFrom(text_format.Parse(text, kind()))
+            # Each file by itself: a field that is given twice in one file is a mistake, a
+            # later file that overrides it is not.
+            message.MergeFrom(text_format.Parse(text, message_class()))
         except text_format.ParseError as error:
             # The error's text starts with line and column.
-            raise SettingsError(f"{path}:{error}") from None
-        for number, line in enumerate(text.splitlines(), start=1):
-            where[line.split(":", 1)[0].strip()] = (path, number)
-            for quoted in line.split('"')[1::2]:
-                where[f'"{quoted}"'] = (path, number)
-    given = {descriptor.name: value for descriptor, value in message.ListFields()}
-    seats, rules = given.pop("seats", ()), given.pop("seat_rules", None)
-    settings = OperatorSettings(**given)
-    try:
-        _check(settings, {name: number for name, (_, number) in where.items()})
-    except ValueError as error:
-        name = str(error).split(": ")[1]
-        raise SettingsError(f"{where.get(name, (files[-1], 1))[0]}:{error}") from None
-    if seats or rules is not None:
-        settings = _with_seats(settings, seats, rules, where, files[-1], platform)
-    return settings
+            raise SettingsError(f"{path}:{error}", path, error.GetLine()) from error
+        locations.add(path, text)
+    return message
 
 
-def _with_seats(
+def _with_counted_resources(
     settings: OperatorSettings,
-    seats: Any,
-    rules: Any,
-    where: dict[str, tuple[Path, int]],
-    last: Path,
+    definition_messages: Any,
+    rules_message: Any,
+    locations: _Locations,
     platform: Settings | None,
 ) -> OperatorSettings:
-    """Counted resources, read with their own layout and checked."""
+    """Add counted resources and their rules, converted to structs and checked."""
     import msgspec
 
     from appleshift.protocol import counted_resources as protocol
 
-    def refuse(text: str, reason: str) -> SettingsError:
-        path, line = where.get(f'"{text}"', where.get(text, (last, 1)))
-        return SettingsError(f"{path}:{line}: {text}: {reason}")
-
     definitions = []
-    for message in seats:
+    for message in definition_messages:
         try:
-            definition = msgspec.convert(_plain(message), protocol.CountedResourceDefinition)
+            definition = msgspec.convert(_to_dict(message), protocol.CountedResourceDefinition)
             protocol.check_definition(definition)
         except ValueError as error:
-            raise refuse(message.name or "seats", str(error)) from None
+            raise locations.error_at_text(message.name or "seats", str(error)) from error
         definitions.append(definition)
     try:
-        told = msgspec.convert(
-            _plain(rules) if rules is not None else {}, protocol.CountedResourceRules
+        rules = msgspec.convert(
+            _to_dict(rules_message) if rules_message is not None else {},
+            protocol.CountedResourceRules,
         )
     except ValueError as error:
-        raise refuse("seat_rules", str(error)) from None
+        raise locations.error_at_text("seat_rules", str(error)) from error
     if platform is not None:
         deployment = platform.deployment
-        wrong = protocol.check_definitions(
+        refusal = protocol.check_definitions(
             tuple(definitions), deployment.teams, int(deployment.state.value_kb * 1024)
         )
-        if wrong is not None:
-            raise refuse(*wrong)
-    return replace(settings, seats=tuple(definitions), seat_rules=told)
+        if refusal is not None:
+            raise locations.error_at_text(*refusal)
+    return replace(settings, seats=tuple(definitions), seat_rules=rules)
 
 
-def _plain(message: Any) -> dict[str, Any]:
-    """A message's given fields by name; enums by theirs."""
-    found: dict[str, Any] = {}
+def _to_dict(message: Any) -> dict[str, Any]:
+    """Convert the fields of a message that are set, by name; enum values by theirs."""
+    values: dict[str, Any] = {}
     for field, value in message.ListFields():
         if field.name == "team":
-            found["teams"] = [_plain(entry) for entry in value]
+            values["teams"] = [_to_dict(entry) for entry in value]
         elif field.message_type is not None:
-            found[field.name] = _plain(value)
+            values[field.name] = _to_dict(value)
         elif field.enum_type is not None:
-            found[field.name] = field.enum_type.values_by_number[value].name
+            values[field.name] = field.enum_type.values_by_number[value].name
         else:
-            found[field.name] = value
-    return found
+            values[field.name] = value
+    return values
--- a/appleshift/protocol/settings.py
+++ b/appleshift/protocol/settings.py
@@ -1,4 +1,7 @@
-"""The settings file that the platform hands over, checked at the door."""
+"""The platform's settings file (TOML), which is checked as a whole when it is read.
+
+Names of fields are those of the file, except where ``rename`` says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -9,28 +12,44 @@
 import msgspec
 
 MIN_VALUE_KB = 2.0
-"""A record must fit one value of the state service."""
+"""Least ``StateSettings.value_kb``: a log record must fit into one value of the store."""
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the message says where and why."""
+    """The settings cannot be used.
+
+    The text says where and why; ``path`` is the file, ``line`` (from 1) and ``field`` the
+    place in it, as far as they are known.
+    """
+
+    def __init__(
+        self, text: str, path: Path, line: int | None = None, field: str | None = None
+    ) -> None:
+        """The text of the exception is ``text`` alone, which names the place as well."""
+        super().__init__(text)
+        self.path = path
+        self.line = line
+        self.field = field
 
 
 class Sibling(msgspec.Struct, frozen=True, rename={"name": "host_name", "zone": "site"}):
-    """Another controller node."""
+    """A peer: another controller node."""
 
     name: str
     zone: str
     peer_addr: str
+    """``host:port`` on which it listens for its peers."""
 
 
 class External(msgspec.Struct, frozen=True):
+    """``host:port`` of the cloud's API and of the key-value store."""
+
     cloud: str
     state: str
 
 
 class TeamLimits(msgspec.Struct, frozen=True):
-    """Guarantee and limit of a team; 0 means none."""
+    """Guarantee (``cpus``, ``gpus``) and limit (``..._max``) of a team; 0 means none."""
 
     name: str
     cpus: float = 0.0
@@ -40,48 +59,74 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What the users expect of a class of jobs."""
+    """A service-level objective for a class of jobs."""
 
     kind: str
     share: float
+    """Fraction of the jobs that are to be served within the objective."""
     job_class: str | None = None
     within_s: float = 0.0
     times: float = 1.0
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
+    """How workers behave. Durations are in seconds."""
+
     report_s: float
+    """Time between two heartbeats of a worker."""
     lease_s: float
+    """Time after the last answered heartbeat at which a worker's lease expires."""
     gang_wait_s: float
+    """Time for which a task of a gang waits for the others to start."""
     gang_peer_s: float
+    """Time within which the tasks of a gang notice that one of them is gone, and within which
+    all must be told to stop."""
     cancel_s: float
+    """Time within which all tasks of a cancelled job must have stopped."""
 
 
 class StateSettings(msgspec.Struct, frozen=True):
+    """Limits of the key-value store."""
+
     rps: float
+    """Requests per second, of all nodes together."""
     write_rps: float
+    """Puts and deletes per second, of all nodes together."""
     value_kb: float
+    """Largest value, in KiB of its JSON form."""
     txn_ops: int
+    """Most puts and deletes of one transaction."""
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
+    """Limits of the cloud's API."""
+
     rps: float
+    """Requests per second."""
     list_lag_s: float
+    """Seconds by which the list of machines lags, at times up to twice that."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
+    """What the machine that this node runs on grants to its process."""
+
     core_share: float = 1.0
+    """Fraction of one CPU core."""
     memory_mb: float = 256.0
     max_sockets: int = 1024
 
 
 class Deployment(msgspec.Struct, frozen=True):
+    """What all nodes of a deployment have in common."""
+
     zones: list[str]
     workers: WorkerSettings
     state: StateSettings
     cloud: CloudSettings
     initial_size: int = 1
+    """Number of nodes at first; it may have changed since."""
     clock_off_ms: float = 0.0
+    """Most milliseconds by which a node's time of day differs from true time."""
     teams: list[TeamLimits] = []
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
@@ -93,14 +138,16 @@
     name: str
     zone: str
     listen: str
+    """``host:port`` for users, workers and operators."""
     cluster_listen: str
+    """``host:port`` for peers."""
     external: External
     deployment: Deployment
     siblings: list[Sibling] = []
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """``"10.0.0.1:8080"`` as host and port."""
+    """Split ``"10.0.0.1:8080"`` into host and port; ValueError if it is not of that form."""
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"not a host:port address: {address!r}")
@@ -108,6 +155,13 @@
 
 
 def _check(settings: Settings) -> None:
+    """ValueError with the reason if a value cannot be used."""
+    _check_addresses(settings)
+    _check_quantities(settings.deployment)
+    _check_names(settings)
+
+
+def _check_addresses(settings: Settings) -> None:
     for address in (
         settings.listen,
         settings.cluster_listen,
@@ -116,7 +170,9 @@
         *(peer.peer_addr for peer in settings.siblings),
     ):
         split_address(address)
-    deployment = settings.deployment
+
+
+def _check_quantities(deployment: Deployment) -> None:
     positive = {
         "deployment.workers.report_s": deployment.workers.report_s,
         "deployment.workers.lease_s": deployment.workers.lease_s,
@@ -130,31 +186,38 @@
         "deployment.machine_limits.core_share": deployment.machine_limits.core_share,
         "deployment.machine_limits.memory_mb": deployment.machine_limits.memory_mb,
     }
-    for where, value in positive.items():
-        # A comparison with what is not a number is never true.
+    for field, value in positive.items():
+        # Written this way round, since every comparison with NaN is false.
         if not 0 < value < math.inf:
-            raise ValueError(f"{where} must be a number above 0, not {value}")
+            raise ValueError(f"{field} must be a number above 0, not {value}")
     if deployment.state.value_kb < MIN_VALUE_KB:
         raise ValueError(f"deployment.state.value_kb must be at least {MIN_VALUE_KB}")
+
+
+def _check_names(settings: Settings) -> None:
     names = [settings.name, *(peer.name for peer in settings.siblings)]
     if len(set(names)) != len(names):
         raise ValueError("host_name: two nodes have the same name")
-    if len({team.name for team in deployment.teams}) != len(deployment.teams):
+    teams = settings.deployment.teams
+    if len({team.name for team in teams}) != len(teams):
         raise ValueError("deployment.teams: two teams have the same name")
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file; unknown fields are ignored."""
+    """Read and check a settings file; SettingsError if it cannot be used.
+
+    Unknown fields are ignored, so that a newer platform may add some.
+    """
     try:
         with path.open("rb") as file:
             raw = tomllib.load(file)
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror or error}") from None
+        raise SettingsError(f"{path}: {error.strerror or error}", path) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{path}: not TOML: {error}") from None
+        raise SettingsError(f"{path}: not TOML: {error}", path) from error
     try:
         settings = msgspec.convert(raw, Settings)
         _check(settings)
     except ValueError as error:
-        raise SettingsError(f"{path}: {error}") from None
+        raise SettingsError(f"{path}: {error}", path) from error
     return settings
