--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -1,4 +1,4 @@
-"""One controller node: puts the layers together and owns the cores' routine."""
+"""One controller node: connects the layers and runs the loop of its schedulers."""
 
 from __future__ import annotations
 
@@ -38,16 +38,29 @@
 log = logging.getLogger(__name__)
 
 IDLE_WAIT_S = 0.1
+"""Most seconds that a round of the loop waits for an event while there is nothing to do."""
 BUSY_WAIT_S = 0.02
+"""The same while a replica has work left over from the last round."""
 RELAY_UPDATE_INTERVAL_S = 1.0
+"""Seconds between two decisions on how many machines send their heartbeats to relays."""
 SAMPLE_INTERVAL_S = 2.5
+"""Seconds between two choices of workers that peers may test their connectivity with."""
 RELAY_GRACE_S = 3.0
+"""Seconds after a failover within which peers report that they can relay."""
 CROWDED_SHARE = 0.95
-"""Of its connections; above it, machines keep theirs only for a report."""
+"""Fraction of the connections above which workers keep theirs only for one heartbeat."""
+STORE_RATE_FRACTION = 0.9
+"""Part of the key-value store's rate limit that all nodes together use."""
+MIN_STORE_CLIENTS = 3
+"""Least number of nodes among which that rate is divided."""
 
 
 class Node:
-    """All routines of one process."""
+    """All threads of one controller process, and what they work on.
+
+    Its schedulers, one for each shard that it leads, belong to the thread of ``_run_loop``
+    alone; other threads reach them by events that are posted to it.
+    """
 
     def __init__(
         self,
@@ -56,6 +69,7 @@
         runtime: Runtime | None = None,
         connect: Callable[[tuple[str, int]], HttpCaller] = HttpClient,
     ) -> None:
+        """Connect the layers; nothing is sent before ``start``, nor any address bound."""
         self.runtime = runtime = runtime or ThreadRuntime()
         self.settings = settings
         self.operator = operator
@@ -63,15 +77,35 @@
         self._events = runtime.queue()
         self._stop = runtime.event()
         self._started = False
-        siblings = {peer.name: connect(split_address(peer.peer_addr)) for peer in settings.siblings}
-        # All nodes share the rate; so does whoever else leads or stands by mistake.
-        share = 0.9 / max(3, len(siblings) + 1)
-        self.store = KeyValueStore(
-            connect(split_address(settings.external.state)), deployment.state.rps * share, runtime
-        )
-        self._limits = capacity = NodeLimits.from_machine_limits(
+        self._limits = NodeLimits.from_machine_limits(
             deployment.machine_limits, operator.shares > 1
         )
+        self._peer_clients = {
+            peer.name: connect(split_address(peer.peer_addr)) for peer in settings.siblings
+        }
+        self._make_external_calls(connect)
+        self._context = self._make_context(connect)
+        self.replicas = {0: ShardReplica(self._context)}
+        self.shard_map_follower: ShardMapFollower | None = None
+        self._make_peer_monitoring()
+        self.router = self._make_router()
+        self._load_monitor = LoadMonitor(deployment.machine_limits, self._limits, runtime.now())
+        self._listeners: list[HttpListener] = []
+        self._next_relay_update = self._next_sample_update = self._relays_seen_at = 0.0
+        if operator.shares > 1:
+            self._follow_shard_map()
+
+    def _make_external_calls(self, connect: Callable[[tuple[str, int]], HttpCaller]) -> None:
+        """Clients of the key-value store, the workers and the cloud's API."""
+        settings, runtime, capacity = self.settings, self.runtime, self._limits
+        deployment = settings.deployment
+        # All nodes use the rate, as does a node that leads or is a candidate by mistake.
+        nodes = max(MIN_STORE_CLIENTS, len(self._peer_clients) + 1)
+        self.store = KeyValueStore(
+            connect(split_address(settings.external.state)),
+            deployment.state.rps * (STORE_RATE_FRACTION / nodes),
+            runtime,
+        )
         self.workers = WorkerCalls(
             self._post, connect, runtime, size=capacity.calls, most=capacity.clients
         )
@@ -82,22 +116,26 @@
             deployment.cloud.rps,
             deployment.cloud.list_lag_s,
         )
-        self._context = NodeContext(
+
+    def _make_context(self, connect: Callable[[tuple[str, int]], HttpCaller]) -> NodeContext:
+        settings = self.settings
+        return NodeContext(
             settings,
-            operator,
-            runtime,
+            self.operator,
+            self.runtime,
             self.store,
-            siblings,
+            self._peer_clients,
             connect,
             self._post,
-            # Marks this process's writes; a restarted one gets another.
+            # Identifies the writes of this process; a restarted one gets another.
             f"{settings.name}.{secrets.token_hex(4)}",
             self.workers,
             self.cloud,
             self._stop,
         )
-        self.replicas = {0: ShardReplica(self._context)}
-        self.shard_map_follower: ShardMapFollower | None = None
+
+    def _make_peer_monitoring(self) -> None:
+        siblings, runtime = self._peer_clients, self.runtime
         self.connectivity = ConnectivityMonitor(
             self.workers.is_reachable,
             lambda: self.store.is_answering,
@@ -109,7 +147,10 @@
         if siblings:
             self._context.candidacy_delay_s = self.connectivity.candidacy_delay_s
         self._peer_monitor = PeerMonitor(siblings, self._all_elections, runtime, self.connectivity)
-        self.router = RequestRouter(
+
+    def _make_router(self) -> RequestRouter:
+        siblings, runtime, capacity = self._peer_clients, self.runtime, self._limits
+        return RequestRouter(
             self.replicas,
             siblings,
             self._post,
@@ -123,52 +164,46 @@
             lambda: self._connections() > CROWDED_SHARE * capacity.connections,
             self.connectivity.heartbeat_received,
         )
-        self._load_monitor = LoadMonitor(deployment.machine_limits, capacity, runtime.now())
-        self._listeners: list[HttpListener] = []
-        self._next_relay_update = self._next_sample_update = self._relays_seen_at = 0.0
-        if operator.shares > 1:
-            self._follow_shard_map()
 
-    # The first share's, which is the leader's.
+    # -- the first shard, whose holder is the leader --------------------------------
 
     @property
     def lease(self) -> LeaderLease:
+        """The leader's lease as this node knows it."""
         return self.replicas[0].lease
 
     @property
     def election(self) -> LeaderElection:
+        """The election of the leader."""
         return self.replicas[0].election
 
     @property
     def scheduler(self) -> Scheduler | None:
+        """The leader's scheduler; None unless this node leads."""
         return self.replicas[0].scheduler
 
-    # -- life -----------------------------------------------------------------
+    # -- start and stop ---------------------------------------------------------------
 
     def listen(self) -> None:
-        """Open both listeners; OSError if an address cannot be had, and then again later.
+        """Bind both addresses; OSError if one can't be bound, after which it may be repeated.
 
-        Whoever has both addresses is the node. Nothing is asked, told or stood for
-        before, so what an earlier process of this node does is over by then.
+        The process that has both addresses is the node. It sends nothing and is no candidate
+        before, so that by then an earlier process of this node has ended.
         """
         settings, limits = self.settings, self._limits
-        doors = (
+        endpoints = (
             (settings.cluster_listen, self.router.cluster, limits.peers, limits.peers, "cluster"),
             (settings.listen, self.router.public, limits.connections, limits.threads, "listen"),
         )
-        for address, app, limit, threads, name in doors[len(self._listeners) :]:
+        for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
                 split_address(address), app, limit, name, threads=threads, pool=POOL_THREADS
             )
             self._listeners.append(listener)
 
     def start(self) -> None:
-        # What was loaded at start lives for good: the collector may skip it.
-        gc.collect()
-        gc.freeze()
-        # A leader holds some hundred thousand objects and makes thousands a
-        # second, hardly any in cycles: looking for those less often is enough.
-        gc.set_threshold(20_000, 20, 20)
+        """Start all threads; ``listen`` has bound the addresses."""
+        _set_up_garbage_collector()
         self.runtime.spawn("core", self._run_loop)
         self.cloud.start()
         for listener in self._listeners:
@@ -181,10 +216,10 @@
             self.connectivity.start()
         if self.shard_map_follower is not None:
             self.shard_map_follower.start()
-        log.info("%s serves on %s", self.settings.name, self.settings.listen)
+        log.info("node started node=%s listen=%s", self.settings.name, self.settings.listen)
 
     def stop(self) -> None:
-        """Orderly end: give up what is held, take no more, end the routines.
+        """Release leadership and shards, stop accepting requests, end the threads.
 
         In this order: once the addresses are free, another process may be this node.
         """
@@ -207,7 +242,7 @@
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
 
-    # -- shares ------------------------------------------------------------------
+    # -- shards -----------------------------------------------------------------------
 
     def _all_elections(self) -> list[LeaderElection]:
         return [replica.election for replica in [*self.replicas.values()]]
@@ -216,7 +251,7 @@
         return None if self.shard_map_follower is None else self.shard_map_follower.shard_map
 
     def _follow_shard_map(self) -> None:
-        """From now on this node goes by the map of shares."""
+        """From now on this node follows the shard map."""
         from appleshift.sharding.shard_map_follower import ShardMapFollower
 
         self.shard_map_follower = ShardMapFollower(
@@ -227,7 +262,7 @@
             self.shard_map_follower.start()
 
     def _add_replica(self, replica: ShardReplica) -> None:
-        """The map has a share more."""
+        """Take in a replica of a shard that the map has added."""
         self.replicas[replica.shard] = replica
         if self._started:
             replica.start()
@@ -236,13 +271,13 @@
         now = self.runtime.now()
         first = self.replicas[0]
         leadership, election = first.lease, first.election
-        hello = peers.PeerStatus(
+        status = peers.PeerStatus(
             election.name,
             leadership.is_leader,
             leadership.fencing_token,
             leadership.may_answer(now),
             election.relayed_fraction if leadership.is_leader else 0.0,
-            # Once a quarter of the machines were sent to a relay that none of them reached.
+            # A quarter of the machines were once redirected to a relay that none could reach.
             election.can_relay() and not self.connectivity.worker_contacts.is_lost(),
             process_id=self._context.process_id,
             connectivity=self.connectivity.own_connectivity(now),
@@ -251,21 +286,21 @@
             else [],
         )
         return (
-            hello
+            status
             if self.shard_map_follower is None
-            else self.shard_map_follower.extend_status(hello, now)
+            else self.shard_map_follower.extend_status(status, now)
         )
 
-    # -- the cores' routine ------------------------------------------------------
+    # -- the schedulers' loop -----------------------------------------------------------
 
     def _run_loop(self) -> None:
         while not self._stop.is_set():
             try:
                 self._run_round()
             except Exception:
-                # The cores' state can no longer be trusted; what is durable
-                # can. Other terms start from there.
-                log.exception("core failed: giving up this term")
+                # State in memory may be inconsistent after a defect, what is durable is not.
+                # Another term starts from there.
+                log.exception("scheduler failed: giving up this term")
                 for replica in [*self.replicas.values()]:
                     replica.scheduler = replica.term = None
                     replica.election.step_down()
@@ -274,23 +309,15 @@
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
         busy = any(replica.is_busy() for replica in replicas)
-        event: events.Event | None = None
-        with contextlib.suppress(queue.Empty):
-            event = self._events.get(timeout=BUSY_WAIT_S if busy else IDLE_WAIT_S)
-        began, handled = self.runtime.now(), 0
-        if event is not None:
-            # What waits by now; no event may be taken out without being handled,
-            # or a reply or a commit's outcome is lost for good.
-            handled = 1 + self._events.qsize()
-            self._handle(event)
-            for _ in range(handled - 1):
-                self._handle(self._events.get_nowait())
+        event = self._next_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
+        began = self.runtime.now()
+        handled = 0 if event is None else self._handle_waiting(event)
         for replica in replicas:
             replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
         elif self._peer_monitor.shard_map_version:
-            # A sibling goes by a map of shares that this node was not told of.
+            # A peer follows a shard map that this node has not received.
             self._follow_shard_map()
         scheduler = self.scheduler
         if scheduler is not None:
@@ -299,10 +326,27 @@
             self._update_worker_sample(scheduler, self.runtime.now())
         self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
         if handled:
-            # What comes meanwhile is handled at once in the next round: to wake
-            # for each event alone costs more than most events do.
+            # Events that come meanwhile are handled together in the next round: to wake up
+            # for a single event costs more than handling it.
             self.runtime.sleep(self._limits.round_pause_s)
 
+    def _next_event(self, timeout_s: float) -> events.Event | None:
+        """Wait for an event; None if there is none in time."""
+        event: events.Event | None = None
+        with contextlib.suppress(queue.Empty):
+            event = self._events.get(timeout=timeout_s)
+        return event
+
+    def _handle_waiting(self, event: events.Event) -> int:
+        """Handle an event and those that wait behind it by now; returns their number."""
+        # No event may be taken out without being handled, or a reply or the result of a
+        # commit would be lost.
+        handled = 1 + self._events.qsize()
+        self._handle(event)
+        for _ in range(handled - 1):
+            self._handle(self._events.get_nowait())
+        return handled
+
     def _connections(self) -> int:
         return self._listeners[-1].connections() if self._listeners else 0
 
@@ -314,7 +358,7 @@
             self.replicas[event.shard].handle(event)
 
     def _update_worker_sample(self, scheduler: Scheduler, now: float) -> None:
-        """Name some workers, over the zones, that others may ask whether they reach any."""
+        """Choose workers of all zones to which peers may test their connectivity."""
         if now < self._next_sample_update:
             return
         self._next_sample_update = now + SAMPLE_INTERVAL_S
@@ -322,20 +366,20 @@
             self.connectivity.worker_contacts.forget()
         by_zone: dict[int, list[str]] = {}
         for machine in scheduler.cluster.machines.values():
-            some = by_zone.setdefault(machine.zone, [])
+            addresses = by_zone.setdefault(machine.zone, [])
             if (
                 machine.addr
                 and now - machine.last_heard < SAMPLE_INTERVAL_S
-                and len(some) < SAMPLE_SIZE
+                and len(addresses) < SAMPLE_SIZE
             ):
-                some.append(machine.addr)
+                addresses.append(machine.addr)
         rows = zip_longest(*(by_zone[zone] for zone in sorted(by_zone)))
         self.connectivity.worker_contacts.set_sample(
             address for row in rows for address in row if address
         )
 
     def _update_relayed_fraction(self, scheduler: Scheduler, now: float) -> None:
-        """Send some machines' reports to other nodes if they are too many for this one."""
+        """Redirect heartbeats of some machines to relays if they are too many for this node."""
         if now < self._next_relay_update:
             return
         self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
@@ -345,15 +389,24 @@
         if relays:
             self._relays_seen_at = now
         elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
-            # After a takeover nodes take a moment to say that they reach this one.
+            # After a failover peers take a moment to report that they can relay.
             return
         scheduler.fleet.set_max_machines(relay_assignment.max_machines(limits.machines, relays))
-        share = relay_assignment.next_relayed_fraction(
+        fraction = relay_assignment.next_relayed_fraction(
             len(scheduler.cluster.machines),
             limits.direct_machines,
             relays,
             self.election.relayed_fraction,
         )
-        if share != self.election.relayed_fraction:
-            log.info("%.0f %% of the machines report to %d relays", share * 100, relays)
-            self.election.relayed_fraction = share
+        if fraction != self.election.relayed_fraction:
+            log.info("heartbeats relayed percent=%.0f relays=%d", fraction * 100, relays)
+            self.election.relayed_fraction = fraction
+
+
+def _set_up_garbage_collector() -> None:
+    # What was loaded at start lives for good: the collector may skip it.
+    gc.collect()
+    gc.freeze()
+    # A leader holds some hundred thousand objects and makes thousands a second, hardly any of
+    # them in cycles: it is enough to look for cycles less often than by default.
+    gc.set_threshold(20_000, 20, 20)
