--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -135,24 +135,26 @@
         )
 
     def _make_peer_monitoring(self) -> None:
-        siblings, runtime = self._peer_clients, self.runtime
+        peer_clients, runtime = self._peer_clients, self.runtime
         self.connectivity = ConnectivityMonitor(
             self.workers.is_reachable,
             lambda: self.store.is_answering,
             lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
-            siblings,
+            peer_clients,
             runtime,
         )
-        if siblings:
+        if peer_clients:
             self._context.candidacy_delay_s = self.connectivity.candidacy_delay_s
-        self._peer_monitor = PeerMonitor(siblings, self._all_elections, runtime, self.connectivity)
+        self._peer_monitor = PeerMonitor(
+            peer_clients, self._all_elections, runtime, self.connectivity
+        )
 
     def _make_router(self) -> RequestRouter:
-        siblings, runtime, capacity = self._peer_clients, self.runtime, self._limits
+        peer_clients, runtime, capacity = self._peer_clients, self.runtime, self._limits
         return RequestRouter(
             self.replicas,
-            siblings,
+            peer_clients,
             self._post,
             lambda: self._events.qsize() / capacity.max_queued,
             self.workers.is_reachable,
