--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -11,7 +11,7 @@
 from appleshift.contracts import events
 from appleshift.transport.client import HttpCaller
 from appleshift.transport.concurrency import Runtime
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 SCHEDULER_REPLY_TIMEOUT_S = 4.0
 """Users wait 5 s for most responses, workers 4 s; a later one helps nobody."""
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -10,7 +10,7 @@
 from appleshift.api.responses import unavailable
 from appleshift.api.views import ShardReplicaView
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -17,7 +17,7 @@
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import HttpAnswer
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 VALID_FOR = "Valid-For-Ms"
 """Header for peers: how much longer the lease of the node that responded is valid."""
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -12,8 +12,8 @@
 from appleshift.protocol import users
 from appleshift.storage.key_value_store import KeyValueStore, StoreError
 from appleshift.storage.keys import audit_key
-from appleshift.transport.concurrency import RateLimiter
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
+from appleshift.transport.rate_limiter import RateLimiter
 
 COUNTED_RESOURCES_PATH = "/seats"
 MAX_NUMBER_DIGITS = 18
--- a/appleshift/api/responses.py
+++ b/appleshift/api/responses.py
@@ -7,7 +7,7 @@
 
 from appleshift.protocol import users
 from appleshift.protocol.wire import encode
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 
 def respond(status: int, body: Any, retry_after: int = 0) -> Response:
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -14,7 +14,7 @@
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
-from appleshift.transport.server import Request, Response
+from appleshift.transport.http_messages import Request, Response
 
 JOBS_PATH = "/submissions"
 MAX_QUERY_NUMBER_DIGITS = 19
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -16,7 +16,7 @@
 from appleshift.protocol import peers, users, workers
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.concurrency import Queue
-from appleshift.transport.server import Response
+from appleshift.transport.http_messages import Response
 
 BATCH_REPLY_TIMEOUT_S = 2.5
 """A relay waits 3 s for the responses to a batch, its workers 4 s."""
--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -19,7 +19,8 @@
 from appleshift.protocol.settings import Settings
 from appleshift.protocol.users import Submission
 from appleshift.protocol.workers import Heartbeat
-from appleshift.state.cluster_state import ClusterState, Job, Machine, TaskRun
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.storage.records import Record
 from appleshift.storage.write_ahead_log import WriteAheadLog
 
--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -17,7 +17,8 @@
 from appleshift.counted_resources.ledger import Commitment, Ledger
 from appleshift.placement.fit import lost_work_s, stop_grace_s
 from appleshift.protocol.counted_resources import STOP
-from appleshift.state.cluster_state import ASSIGNED, EXITED, OPEN, Job, TaskRun
+from appleshift.state.entities import Job, TaskRun
+from appleshift.state.states import ASSIGNED, EXITED, OPEN
 
 KEPT_FOR = 8
 """So many jobs have units kept at once; the others stand in line behind them."""
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -16,7 +16,8 @@
 from appleshift.protocol.counted_resources import CountedResourceDefinition, requested_counts
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
-from appleshift.state.cluster_state import ClusterState, Job, TaskRun
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, TaskRun
 from appleshift.state.name_index import NameIndex
 
 
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -26,7 +26,8 @@
 from appleshift.protocol.license_server import ReservationReply
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.wire import MAX_BODY, json_size
-from appleshift.state.cluster_state import OPEN, Job
+from appleshift.state.entities import Job
+from appleshift.state.states import OPEN
 from appleshift.storage import records
 from appleshift.storage.records import LogReplayer, Record
 from appleshift.storage.write_ahead_log import WriteAheadLog
--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -13,7 +13,9 @@
 from appleshift.protocol import cloud
 from appleshift.protocol.wire import ProtocolError, decode, encode
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import RateLimiter, Runtime, ThreadPool
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.rate_limiter import RateLimiter
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -12,7 +12,8 @@
 from appleshift.contracts.interfaces import SchedulerView
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Heartbeat
-from appleshift.state.cluster_state import ASSIGNED, EXITED, Machine, TaskRun
+from appleshift.state.entities import Machine, TaskRun
+from appleshift.state.states import ASSIGNED, EXITED
 
 RESEND_INTERVAL_S = 1.0
 """A command without visible effect is sent again after so many seconds."""
--- a/appleshift/machines/boot_monitor.py
+++ b/appleshift/machines/boot_monitor.py
@@ -5,7 +5,7 @@
 from appleshift.contracts.actions import ProbeMachine
 from appleshift.contracts.interfaces import FleetView
 from appleshift.machines.health import MachineHealth
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 
 BOOT_MARGIN_S = 5.0
 """Added to the boot time that operators accept, in seconds."""
--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -8,7 +8,7 @@
 from appleshift.machines.shard_ownership import mark_shard, may_delete
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -5,7 +5,7 @@
 import logging
 
 from appleshift.contracts.interfaces import SchedulerView
-from appleshift.state.cluster_state import Job, Machine
+from appleshift.state.entities import Job, Machine
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -20,7 +20,8 @@
 from appleshift.protocol.workers import Heartbeat
 from appleshift.provisioning.consolidation import Consolidation
 from appleshift.provisioning.pool import CapacityPool
-from appleshift.state.cluster_state import BOOTING, UP, Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import BOOTING, UP
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -15,7 +15,8 @@
 from appleshift.machines.fault_detection import FaultDetector
 from appleshift.machines.unreachable_zones import UnreachableZones
 from appleshift.placement.fit import remaining_per_zone
-from appleshift.state.cluster_state import EXITED, UP, Job, Machine
+from appleshift.state.entities import Job, Machine
+from appleshift.state.states import EXITED, UP
 
 PROBE_AFTER_INTERVALS = 1.4
 """Heartbeats are a quarter late at most: a machine that misses one is probed at once."""
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -24,7 +24,8 @@
 from appleshift.contracts.actions import ProbeMachine
 from appleshift.contracts.interfaces import SchedulerView
 from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, Heartbeat
-from appleshift.state.cluster_state import UP, Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import UP
 
 
 class MachineLiveness:
--- a/appleshift/machines/reclaim.py
+++ b/appleshift/machines/reclaim.py
@@ -4,7 +4,7 @@
 
 from appleshift.contracts.interfaces import SchedulerView
 from appleshift.placement.fit import stop_grace_s
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 
 STOP_GRACE_FACTOR = 3.0
 """Tasks are stopped once less than this many times their grace period remains."""
--- a/appleshift/machines/shard_ownership.py
+++ b/appleshift/machines/shard_ownership.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from appleshift.contracts.interfaces import SchedulerView
-from appleshift.state.cluster_state import BOOTING, Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import BOOTING
 
 
 def mark_shard(scheduler: SchedulerView, machine: Machine) -> None:
--- a/appleshift/objectives/achieved.py
+++ b/appleshift/objectives/achieved.py
@@ -21,7 +21,9 @@
 
 from appleshift.objectives.objectives import ObjectiveDeadline, Objectives
 from appleshift.objectives.sliding_ratio import SlidingRatio
-from appleshift.state.cluster_state import CANCELLED, FINISHED, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.states import CANCELLED, FINISHED
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/objectives/objectives.py
+++ b/appleshift/objectives/objectives.py
@@ -7,7 +7,7 @@
 
 from appleshift.objectives.recent_demand import RecentDemand
 from appleshift.protocol.settings import Objective
-from appleshift.state.cluster_state import Job
+from appleshift.state.entities import Job
 
 PATIENCE_SHARE = 0.25
 """The part of the accepted wait that may pass before other tasks are stopped."""
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -5,7 +5,8 @@
 from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import ClusterState, type_fits
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.resources import type_fits
 
 
 def rejection(
--- a/appleshift/placement/counted_resources.py
+++ b/appleshift/placement/counted_resources.py
@@ -9,7 +9,8 @@
 from typing import Any, Protocol
 
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import CountedResourceTracker, Job, TaskRun
+from appleshift.state.cluster_state import CountedResourceTracker
+from appleshift.state.entities import Job, TaskRun
 from appleshift.storage.records import Record
 
 
--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -5,7 +5,9 @@
 from collections.abc import Iterator
 
 from appleshift.placement.fit import FailedNeeds
-from appleshift.state.cluster_state import EPSILON, ClusterState, Job, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
+from appleshift.state.resources import EPSILON
 
 
 class EligibleMachines:
--- a/appleshift/placement/fair_share.py
+++ b/appleshift/placement/fair_share.py
@@ -18,7 +18,9 @@
 from dataclasses import dataclass
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.state.cluster_state import OPEN, ClusterState, Job, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
+from appleshift.state.states import OPEN
 
 FIRST_TASK_AFTER_S = 60.0
 """An array of which nothing has started by then gets a place for one task."""
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -6,7 +6,9 @@
 from typing import Protocol
 
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import EPSILON, ClusterState, Job, TaskRun
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, TaskRun
+from appleshift.state.resources import EPSILON
 
 
 class TaskGroupSize(Protocol):
--- a/appleshift/placement/freeable_room.py
+++ b/appleshift/placement/freeable_room.py
@@ -9,7 +9,9 @@
 from dataclasses import dataclass, field
 
 from appleshift.placement.fit import stop_grace_s, tasks_that_fit
-from appleshift.state.cluster_state import ASSIGNED, EPSILON, EXITED, Job, Machine, TaskRun
+from appleshift.state.entities import Job, Machine, TaskRun
+from appleshift.state.resources import EPSILON
+from appleshift.state.states import ASSIGNED, EXITED
 
 
 @dataclass(slots=True)
--- a/appleshift/placement/gang_placement.py
+++ b/appleshift/placement/gang_placement.py
@@ -7,7 +7,7 @@
 from appleshift.placement.gang_reservation import GangReservations
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.placement.replica_placement import free_tasks_that_fit
-from appleshift.state.cluster_state import Job, Machine
+from appleshift.state.entities import Job, Machine
 
 
 class GangPlacer:
--- a/appleshift/placement/gang_preemption.py
+++ b/appleshift/placement/gang_preemption.py
@@ -9,7 +9,8 @@
 from appleshift.placement.fit import lost_work_s
 from appleshift.placement.freeable_room import FreeableRooms
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import EPSILON, Job, Machine, TaskRun
+from appleshift.state.entities import Job, Machine, TaskRun
+from appleshift.state.resources import EPSILON
 
 
 def frees_nothing_needed(spec: Submission, run: TaskRun) -> bool:
--- a/appleshift/placement/gang_reservation.py
+++ b/appleshift/placement/gang_reservation.py
@@ -8,7 +8,7 @@
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.placement.replica_placement import free_tasks_that_fit
-from appleshift.state.cluster_state import Job, Machine
+from appleshift.state.entities import Job, Machine
 
 
 class GangReservations:
--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/leftovers.py
@@ -4,7 +4,9 @@
 
 from appleshift.placement.eligible_machines import EligibleMachines
 from appleshift.placement.fit import FailedNeeds, may_run_beside_gpus, tasks_that_fit
-from appleshift.state.cluster_state import EPSILON, ClusterState, Job, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
+from appleshift.state.resources import EPSILON
 
 
 class GpuMachineLeftovers:
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -9,7 +9,8 @@
 from appleshift.placement.preemption import Preemption
 from appleshift.placement.result import Placement, PlacementResult
 from appleshift.placement.urgency import UrgencyOrder
-from appleshift.state.cluster_state import ClusterState, Job, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
 
 
 class PlacementPass:
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -10,15 +10,10 @@
 from appleshift.placement.gang_preemption import GangPreemption, may_preempt
 from appleshift.placement.quota import borrowing_teams, guarantees_apply
 from appleshift.placement.urgency import UrgencyOrder
-from appleshift.state.cluster_state import (
-    ASSIGNED,
-    EPSILON,
-    EXITED,
-    ClusterState,
-    Job,
-    Machine,
-    TaskRun,
-)
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine, TaskRun
+from appleshift.state.resources import EPSILON
+from appleshift.state.states import ASSIGNED, EXITED
 
 
 class Preemption:
--- a/appleshift/placement/quota.py
+++ b/appleshift/placement/quota.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from appleshift.state.cluster_state import EPSILON, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.resources import EPSILON
 
 
 def within_guarantee(cluster: ClusterState, job: Job) -> bool:
--- a/appleshift/placement/replica_placement.py
+++ b/appleshift/placement/replica_placement.py
@@ -5,7 +5,7 @@
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.placement.task_round import place_round
-from appleshift.state.cluster_state import Job, Machine
+from appleshift.state.entities import Job, Machine
 
 FETCH_TIME_MARGIN = 4 / 3
 """Machines fetch images at the rate of their type, give or take a third."""
--- a/appleshift/placement/result.py
+++ b/appleshift/placement/result.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from appleshift.state.cluster_state import Job, Machine, TaskRun
+from appleshift.state.entities import Job, Machine, TaskRun
 
 
 @dataclass(slots=True)
--- a/appleshift/placement/task_placement.py
+++ b/appleshift/placement/task_placement.py
@@ -5,7 +5,7 @@
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.placement.replica_placement import ReplicaPlacer, free_tasks_that_fit
 from appleshift.placement.task_round import place_round
-from appleshift.state.cluster_state import Job, Machine
+from appleshift.state.entities import Job, Machine
 
 
 class TaskPlacer:
--- a/appleshift/placement/task_round.py
+++ b/appleshift/placement/task_round.py
@@ -7,7 +7,8 @@
 from appleshift.placement.fit import remaining_per_zone
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import Job, Machine, Team
+from appleshift.state.entities import Job, Machine
+from appleshift.state.teams import Team
 
 
 def place_round(
--- a/appleshift/placement/urgency.py
+++ b/appleshift/placement/urgency.py
@@ -5,7 +5,9 @@
 from appleshift.objectives.objectives import RESERVE_ALWAYS_AFTER_S, Objectives
 from appleshift.placement.counted_resources import CountedResourcePass
 from appleshift.placement.quota import within_guarantee
-from appleshift.state.cluster_state import OPEN, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.states import OPEN
 
 
 class UrgencyOrder:
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -11,7 +11,9 @@
 
 from appleshift.contracts.interfaces import FleetView
 from appleshift.placement.fit import remaining_per_zone
-from appleshift.state.cluster_state import EPSILON, RUNNING, UP, Job, Machine, TaskRun
+from appleshift.state.entities import Job, Machine, TaskRun
+from appleshift.state.resources import EPSILON
+from appleshift.state.states import RUNNING, UP
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/provisioning/demand.py
+++ b/appleshift/provisioning/demand.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterator
 
 from appleshift.provisioning.pool_view import PoolView
-from appleshift.state.cluster_state import OPEN, Job
+from appleshift.state.entities import Job
+from appleshift.state.states import OPEN
 
 PROMPT_BOOTS = 2.0
 """Jobs that may wait for this many boots can be rented for when they arrive."""
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -13,7 +13,7 @@
 from appleshift.provisioning.scale_in import scale_in
 from appleshift.provisioning.scale_out import scale_out
 from appleshift.provisioning.shortages import cover_shortages, unplaceable_needs
-from appleshift.state.cluster_state import BOOTING
+from appleshift.state.states import BOOTING
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/provisioning/pool_view.py
+++ b/appleshift/provisioning/pool_view.py
@@ -4,7 +4,8 @@
 
 from appleshift.contracts.interfaces import FleetView
 from appleshift.protocol.cloud import MachineType
-from appleshift.state.cluster_state import BOOTING, Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import BOOTING
 
 BOOT_LATE_FACTOR = 1.6
 """A boot that takes more than this many times as long as usual is no capacity to count on."""
--- a/appleshift/provisioning/scale_in.py
+++ b/appleshift/provisioning/scale_in.py
@@ -7,7 +7,8 @@
 from appleshift.protocol import cloud
 from appleshift.provisioning.planner import CapacityPlan
 from appleshift.provisioning.pool_view import PoolView
-from appleshift.state.cluster_state import UP, Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import UP
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/provisioning/shortages.py
+++ b/appleshift/provisioning/shortages.py
@@ -8,7 +8,8 @@
 from appleshift.placement.fit import remaining_per_zone, tasks_that_fit
 from appleshift.placement.result import Shortage
 from appleshift.provisioning.pool_view import PoolView
-from appleshift.state.cluster_state import BOOTING, OPEN, UP, ClusterState
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import BOOTING, OPEN, UP
 
 
 def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -8,7 +8,7 @@
 from appleshift.protocol.wire import encode
 from appleshift.protocol.workers import Heartbeat
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 
 
 class HeartbeatRequests:
--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -15,7 +15,7 @@
 from appleshift.machines.fleet import Fleet
 from appleshift.machines.liveness import MachineLiveness
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import Job, Machine, TaskRun
+from appleshift.state.entities import Job, Machine, TaskRun
 
 
 class ReplyingScheduler(SchedulerView, Protocol):
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -18,7 +18,8 @@
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
 from appleshift.scheduler.interfaces import ReplyingScheduler
-from appleshift.state.cluster_state import CANCELLED, FINISHED, FORWARDED, OPEN, Job
+from appleshift.state.entities import Job
+from appleshift.state.states import CANCELLED, FINISHED, FORWARDED, OPEN
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -7,7 +7,7 @@
 from appleshift.contracts.actions import DeleteMachines
 from appleshift.protocol import cloud
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 from appleshift.storage import records
 
 DELETION_RETRY_S = 1.0
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -7,7 +7,7 @@
 from appleshift.dispatch.worker_commands import RESEND_INTERVAL_S
 from appleshift.scheduler.interfaces import TermScheduler
 from appleshift.scheduler.snapshot_trigger import SnapshotTrigger
-from appleshift.state.cluster_state import Job
+from appleshift.state.entities import Job
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/scheduler/placement_pass.py
+++ b/appleshift/scheduler/placement_pass.py
@@ -8,7 +8,7 @@
 from appleshift.placement.fit import stop_grace_s
 from appleshift.placement.result import Placement
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import Machine, TaskRun
+from appleshift.state.entities import Machine, TaskRun
 from appleshift.storage import records
 
 MAX_LOG_LAG_FOR_PLACEMENT_S = 1.0
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -11,16 +11,8 @@
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Heartbeat, TaskStatus
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import (
-    ASSIGNED,
-    CANCELLED,
-    EXITED,
-    RUN_STATES,
-    RUNNING,
-    WAITING,
-    Machine,
-    TaskRun,
-)
+from appleshift.state.entities import Machine, TaskRun
+from appleshift.state.states import ASSIGNED, CANCELLED, EXITED, RUN_STATES, RUNNING, WAITING
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -35,7 +35,8 @@
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
 from appleshift.scheduler.task_runs import TaskRuns
 from appleshift.scheduler.term_recovery import restore_term
-from appleshift.state.cluster_state import ClusterState, Job, Machine, TaskRun
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.storage.records import LogReplayer, Record
 
 LEASE_MARGIN_S = 0.25
--- a/appleshift/scheduler/task_runs.py
+++ b/appleshift/scheduler/task_runs.py
@@ -10,7 +10,8 @@
 from functools import partial
 
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import ASSIGNED, EXITED, FINISHED, OPEN, Job, TaskRun
+from appleshift.state.entities import Job, TaskRun
+from appleshift.state.states import ASSIGNED, EXITED, FINISHED, OPEN
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
--- a/appleshift/scheduler/term_recovery.py
+++ b/appleshift/scheduler/term_recovery.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from appleshift.scheduler.interfaces import TermScheduler
-from appleshift.state.cluster_state import CANCELLED, UP, ClusterState
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import CANCELLED, UP
 from appleshift.storage.records import LogReplayer
 
 
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -21,8 +21,8 @@
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap
 from appleshift.sharding.shard_reporter import unmet_needs
-from appleshift.state.cluster_state import UP as MACHINE_UP
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
+from appleshift.state.states import UP as MACHINE_UP
 
 SHORTAGE_S = 12.0
 """Work that waited for so many seconds shows that its shard has too few machines,
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -15,7 +15,7 @@
 
 from appleshift.protocol.sharding import TransferredMachine
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
-from appleshift.state.cluster_state import HandedOffMachine
+from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -50,7 +50,7 @@
 from appleshift.storage.records import LogReplayer
 from appleshift.storage.recovery import recover
 from appleshift.transport.client import ClientError
-from appleshift.transport.concurrency import ThreadPool
+from appleshift.transport.thread_pool import ThreadPool
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -25,8 +25,8 @@
 from appleshift.provisioning.shortages import need_of_shortage
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
-from appleshift.state.cluster_state import UP as MACHINE_UP
 from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import UP as MACHINE_UP
 
 log = logging.getLogger(__name__)
 
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -23,7 +23,8 @@
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap, is_pinned
 from appleshift.sharding.shard_reporter import ShardReporter
-from appleshift.state.cluster_state import Job, Machine, type_fits
+from appleshift.state.entities import Job, Machine
+from appleshift.state.resources import type_fits
 from appleshift.storage.records import Record
 
 LOOK_S = 0.05
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -11,29 +11,12 @@
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.users import RANKS, Submission
-from appleshift.state.entities import Job as Job
-from appleshift.state.entities import Machine as Machine
-from appleshift.state.entities import TaskRun as TaskRun
-from appleshift.state.entities import partition_key as partition_key
-from appleshift.state.handed_off_machines import HandedOffMachine as HandedOffMachine
+from appleshift.state.entities import Job, Machine, TaskRun
+from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.state.name_index import NameIndex
-from appleshift.state.resources import EPSILON as EPSILON
-from appleshift.state.resources import type_fits as type_fits
-from appleshift.state.states import ASSIGNED as ASSIGNED
-from appleshift.state.states import BOOTING as BOOTING
-from appleshift.state.states import CANCELLED as CANCELLED
-from appleshift.state.states import DELETED as DELETED
-from appleshift.state.states import EXITED as EXITED
-from appleshift.state.states import FETCHING as FETCHING
-from appleshift.state.states import FINISHED as FINISHED
-from appleshift.state.states import FORWARDED as FORWARDED
-from appleshift.state.states import OPEN as OPEN
-from appleshift.state.states import RUN_STATES as RUN_STATES
-from appleshift.state.states import RUNNING as RUNNING
-from appleshift.state.states import SAVING as SAVING
-from appleshift.state.states import UP as UP
-from appleshift.state.states import WAITING as WAITING
-from appleshift.state.teams import Team as Team
+from appleshift.state.resources import type_fits
+from appleshift.state.states import DELETED
+from appleshift.state.teams import Team
 
 CLASS_RATIO_WEIGHT = 0.02
 """Weight of one finished task in the average run ratio of its job class."""
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -9,7 +9,8 @@
 from appleshift.protocol import kv
 from appleshift.protocol.wire import ProtocolError, encode
 from appleshift.transport.client import ClientError, HttpCaller
-from appleshift.transport.concurrency import RateLimiter, Runtime
+from appleshift.transport.concurrency import Runtime
+from appleshift.transport.rate_limiter import RateLimiter
 
 PAGE_ITEMS = 1000
 """Keys of a page: as many as the service puts into an answer. It also cuts an answer short by
--- a/tests/api/test_job_completion_races.py
+++ b/tests/api/test_job_completion_races.py
@@ -17,7 +17,9 @@
 from appleshift.protocol import users
 from appleshift.protocol.workers import TaskStatus
 from appleshift.scheduler.job_requests import JobRequests
-from appleshift.state.cluster_state import CANCELLED, OPEN, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.states import CANCELLED, OPEN
 from appleshift.storage import records
 from tests.support.builders import submission
 from tests.support.scheduler_bench import Bench
--- a/tests/counted_resources/test_counted_resources.py
+++ b/tests/counted_resources/test_counted_resources.py
@@ -27,7 +27,9 @@
 from appleshift.protocol.operator import OperatorSettings, load_operator_settings
 from appleshift.protocol.settings import SettingsError, TeamLimits, load_settings
 from appleshift.protocol.workers import TaskStatus
-from appleshift.state.cluster_state import RUNNING, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.states import RUNNING
 from tests.protocol.test_settings import GOOD, write
 from tests.support.builders import cluster, job, submission
 from tests.support.deployments import LEASE_S
--- a/tests/golden/adapter.py
+++ b/tests/golden/adapter.py
@@ -26,7 +26,8 @@
 from appleshift.protocol.wire import ProtocolError, decode, encode
 from appleshift.sharding.shard_map import ShardMap
 from appleshift.sharding.shard_map import new_epoch as make_epoch
-from appleshift.state.cluster_state import ClusterState, Job, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job, Machine
 from appleshift.state.name_index import from_ranges
 from appleshift.storage import records
 from appleshift.storage.keys import audit_key
--- a/tests/machines/test_machine_liveness.py
+++ b/tests/machines/test_machine_liveness.py
@@ -6,7 +6,7 @@
     DeleteMachines,
     ProbeMachine,
 )
-from appleshift.state.cluster_state import UP
+from appleshift.state.states import UP
 from tests.support.builders import machine as machine_of
 from tests.support.builders import submission
 from tests.support.deployments import LEASE_S
--- a/tests/measurements/measure_counted_resources.py
+++ b/tests/measurements/measure_counted_resources.py
@@ -21,7 +21,8 @@
 from appleshift.protocol.counted_resources import LicenseServer as Server
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import TeamLimits
-from appleshift.state.cluster_state import RUNNING, UP, ClusterState
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import RUNNING, UP
 from tests.support.builders import KINDS, job
 from tests.support.deployments import SMALL
 from tests.support.license_server import LicenceServer
--- a/tests/measurements/measure_slopes.py
+++ b/tests/measurements/measure_slopes.py
@@ -26,7 +26,8 @@
 from appleshift.protocol import users, workers
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.wire import encode
-from appleshift.state.cluster_state import RUNNING, UP, ClusterState
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import RUNNING, UP
 from appleshift.storage import records
 from appleshift.storage.records import LogReplayer
 from tests.support.builders import KINDS, job, submission
--- a/tests/objectives/test_objectives.py
+++ b/tests/objectives/test_objectives.py
@@ -11,7 +11,7 @@
 from appleshift.objectives.objectives import Objectives
 from appleshift.objectives.sliding_ratio import WINDOW_S, SlidingRatio
 from appleshift.protocol.settings import Objective, TeamLimits
-from appleshift.state.cluster_state import CANCELLED, FINISHED
+from appleshift.state.states import CANCELLED, FINISHED
 from tests.support import builders
 from tests.support.deployments import SMALL
 from tests.support.simulated_world import World
--- a/tests/placement/test_fair_share.py
+++ b/tests/placement/test_fair_share.py
@@ -10,7 +10,8 @@
 from appleshift.placement import fair_share
 from appleshift.placement.first_fit import FirstFitPlacer
 from appleshift.protocol.settings import Objective, TeamLimits
-from appleshift.state.cluster_state import RUNNING, Job
+from appleshift.state.entities import Job
+from appleshift.state.states import RUNNING
 from tests.support import builders
 
 
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -8,7 +8,9 @@
 from appleshift.placement.first_fit import FirstFitPlacer
 from appleshift.placement.result import PlacementResult
 from appleshift.protocol.settings import Objective, TeamLimits
-from appleshift.state.cluster_state import RUNNING, ClusterState, TaskRun
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import TaskRun
+from appleshift.state.states import RUNNING
 from tests.support.builders import cluster, job, machine
 
 
--- a/tests/placement/test_placement_equivalence.py
+++ b/tests/placement/test_placement_equivalence.py
@@ -12,7 +12,9 @@
 from appleshift.placement.preemption import Preemption
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import ASSIGNED, EXITED, RUNNING, ClusterState, Job
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Job
+from appleshift.state.states import ASSIGNED, EXITED, RUNNING
 from tests.support.builders import cluster, job
 
 
--- a/tests/scheduler/test_node_limits.py
+++ b/tests/scheduler/test_node_limits.py
@@ -15,7 +15,7 @@
 from appleshift.node_limits.time_budget import TimeBudget
 from appleshift.protocol.settings import MachineLimits
 from appleshift.transport.concurrency import ThreadRuntime
-from appleshift.transport.server import Request
+from appleshift.transport.http_messages import Request
 from tests.support.builders import submission
 
 
--- a/tests/sharding/test_sharding.py
+++ b/tests/sharding/test_sharding.py
@@ -24,7 +24,7 @@
 )
 from appleshift.sharding.shard_map import ShardMap, new_epoch
 from appleshift.sharding.shard_reporter import ShardReporter
-from appleshift.state.cluster_state import UP as MACHINE_UP
+from appleshift.state.states import UP as MACHINE_UP
 from tests.support import builders
 from tests.support.deployments import LARGE, SMALL, Site
 from tests.support.fault_injection import heal, outages, unleash
--- a/tests/sharding/test_sharding_model.py
+++ b/tests/sharding/test_sharding_model.py
@@ -16,7 +16,8 @@
 from appleshift.sharding.array_partitions import ArrayPartitions
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.sharding import Sharding
-from appleshift.state.cluster_state import CANCELLED, Job, partition_key
+from appleshift.state.entities import Job, partition_key
+from appleshift.state.states import CANCELLED
 from appleshift.storage import records
 from tests.counted_resources.test_counted_resources_model import FINDS, SAME_EACH_TIME
 from tests.support.sharding_model import HOME, IDS, OTHER, SharesMachine
--- a/tests/simulation/test_overlapping_failure_scenarios.py
+++ b/tests/simulation/test_overlapping_failure_scenarios.py
@@ -20,7 +20,7 @@
 from appleshift.machines.health import MachineHealth
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.scheduler.scheduler import Scheduler
-from appleshift.state.cluster_state import Job
+from appleshift.state.entities import Job
 from appleshift.storage import maintenance
 from appleshift.storage.key_value_store import CompareFailedError, StoreError
 from appleshift.storage.records import LogReplayer
--- a/tests/simulation/test_overlapping_failures.py
+++ b/tests/simulation/test_overlapping_failures.py
@@ -13,7 +13,7 @@
 from appleshift.dispatch.worker_commands import WorkerCommands
 from appleshift.machines.liveness import MachineLiveness
 from appleshift.protocol.workers import Heartbeat, TaskStatus
-from appleshift.state.cluster_state import Machine
+from appleshift.state.entities import Machine
 from tests.support.builders import machine as machine_of
 from tests.support.deployments import CANCEL_S, LARGE, LEASE_S, SMALL, Site
 from tests.support.fault_injection import heal, isolated_leader, late_reports, late_writes
--- a/tests/storage/test_write_ahead_log.py
+++ b/tests/storage/test_write_ahead_log.py
@@ -10,7 +10,8 @@
 from appleshift.protocol import kv
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.wire import json_size
-from appleshift.state.cluster_state import CANCELLED, ClusterState
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.states import CANCELLED
 from appleshift.storage import records
 from appleshift.storage.key_value_store import CompareFailedError, KeyValueStore
 from appleshift.storage.keys import log_key
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -7,7 +7,9 @@
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
 from appleshift.protocol.users import Submission
-from appleshift.state.cluster_state import UP, ClusterState, Machine
+from appleshift.state.cluster_state import ClusterState
+from appleshift.state.entities import Machine
+from appleshift.state.states import UP
 
 KINDS = [
     MachineType("small", 4.0, 16.0, 0.2, 0.05, 10.0, ["a", "b"], cache_gb=20.0),
