--- a/appleshift/protocol/settings.py
+++ b/appleshift/protocol/settings.py
@@ -62,11 +62,14 @@
     """A service-level objective for a class of jobs."""
 
     kind: str
+    """``wait``, ``finished`` or ``deadline``."""
     share: float
     """Fraction of the jobs that are to be served within the objective."""
     job_class: str | None = None
     within_s: float = 0.0
+    """Of ``wait`` and ``finished``: seconds from the submission."""
     times: float = 1.0
+    """Of ``deadline``: factor on the deadline that the job itself names."""
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
