--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -337,6 +337,9 @@
     # The oldest two, which have threads, are not what is looked for here.
     for each in held[:2]:
         each.sendall(b"POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\n")
+    # Until their threads have read these, the two count as idle for the longest.
+    waiting = pooled_listener._deadlines._deadlines
+    wait_until(lambda: sum(deadline.idle for deadline in list(waiting.values())) == 38)
     monkeypatch.setattr(connection_deadlines, "CROWDED_IDLE_S", 0.0)
     refused = socket.create_connection(pooled_listener.server_address[:2], timeout=5.0)
     assert refused.recv(10) == b""
