--- a/appleshift/leader_election/candidacy.py
+++ b/appleshift/leader_election/candidacy.py
@@ -117,7 +117,7 @@
         token = 1 if item is None else int(item.value["token"]) + 1
         token = max(token, self._lease.highest_seen_token + 1)
         self._attempt_number += 1
-        key, node_name = self._dependencies.key, self._dependencies.node_name
+        key, node_name = self._dependencies.leader_key, self._dependencies.node_name
         term_id = f"{self._dependencies.term_id_prefix}.{self._attempt_number}"
         return _Proposal(
             token,
--- a/appleshift/leader_election/dependencies.py
+++ b/appleshift/leader_election/dependencies.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from appleshift.leader_election.leader_lease import LeaderLease
-from appleshift.leader_election.leader_term import holder_key
+from appleshift.leader_election.leader_term import leader_key
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.storage.key_value_store import KeyValueStore
 from appleshift.transport.client import HttpCaller
@@ -30,9 +30,9 @@
     shard: int = 0
 
     @property
-    def key(self) -> str:
+    def leader_key(self) -> str:
         """The key whose owner holds the shard."""
-        return holder_key(self.shard)
+        return leader_key(self.shard)
 
     def routine_name(self, purpose: str) -> str:
         """Name a routine of this election, so that those of several shards differ."""
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -42,7 +42,7 @@
         self.name = dependencies.node_name
         self.process_id = dependencies.process_id
         self.shard = dependencies.shard
-        self.key = dependencies.key
+        self.leader_key = dependencies.leader_key
         self.lease = dependencies.lease
         self._dependencies = dependencies
         self._conditions = conditions or CandidacyConditions()
@@ -152,7 +152,7 @@
     def store_answers(self) -> bool:
         """Ask the key-value store; return whether it answers this node right now."""
         try:
-            self._store.get(self.key, STORE_CHECK_TIMEOUT_S)
+            self._store.get(self.leader_key, STORE_CHECK_TIMEOUT_S)
         except (StoreError, ProtocolError):
             return False
         return True
@@ -211,7 +211,7 @@
         # Read as a page, which has the store's revision. A watch from the key's own
         # revision is refused once enough other changes have followed: then every
         # follower of a long term asked as fast as its rate limit allowed.
-        page = self._store.read_page(self.key, "", 1)
+        page = self._store.read_page(self.leader_key, "", 1)
         if not page.items:
             self._leaders.clear_leader()
             if not self._stand_for_free_key():
@@ -224,7 +224,7 @@
             self._release_own_stale_key()
             self._stop.wait(FOLLOW_RETRY_S)
             return
-        feed = self._store.watch(self.key, page.revision, WATCH_TIMEOUT_S)
+        feed = self._store.watch(self.leader_key, page.revision, WATCH_TIMEOUT_S)
         if feed is None:
             self._stop.wait(FOLLOW_RETRY_S)
         elif any(change.get("remove") for change in feed.changes):
@@ -236,7 +236,7 @@
         The key may be another node's by now. Its lease was once ended here, and a second
         leader elected while the first one counted on it.
         """
-        item = self._store.get(self.key)
+        item = self._store.get(self.leader_key)
         if item is None or LeaderRecord.from_item(item).name != self.name:
             return
         if isinstance(item.lease, int):
--- a/appleshift/leader_election/leader_term.py
+++ b/appleshift/leader_election/leader_term.py
@@ -17,7 +17,7 @@
     """An election won."""
 
     fencing_token: int
-    key_version: int
+    leader_key_version: int
     """Version of the holder key; every write of the term is guarded by it."""
     term_id: str
     """Unique to this term; marks its writes."""
@@ -42,6 +42,6 @@
         return cls(str(value.get("name", "")), token if isinstance(token, int) else 0)
 
 
-def holder_key(shard: int) -> str:
+def leader_key(shard: int) -> str:
     """Return the key whose owner holds ``shard``."""
     return f"share/{shard:04d}/holder" if shard else LEADER_KEY
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -186,7 +186,7 @@
         """Put the map in the place of that version; returns its own."""
         value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
-            kv.guard(self._replicas[0].election.key, term.key_version),
+            kv.guard(self._replicas[0].election.leader_key, term.leader_key_version),
             kv.guard(SHARD_MAP_KEY, version),
         ]
         put = kv.put(SHARD_MAP_KEY, msgspec.to_builtins(value))
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
-from appleshift.leader_election.leader_term import LeaderTerm, holder_key
+from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resources import CountedResources
 from appleshift.protocol.wire import ProtocolError
@@ -96,8 +96,8 @@
     write_rps = limits.write_rps * context.operator.write_share / shards
     recovered_log = recovered.recovered_log
     write_ahead_log = WriteAheadLog(
-        leader_key=holder_key(term.shard),
-        leader_version=term.key_version,
+        leader_key=leader_key(term.shard),
+        leader_version=term.leader_key_version,
         term_id=term.term_id,
         write_rps=max(MIN_WRITE_RPS, write_rps),
         value_bytes=int(limits.value_kb * BYTES_PER_KB),
