--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -62,7 +62,7 @@
         if not replica.lease.is_leader:
             return True
         leader = replica.election.current_leader()
-        return not self.is_entitled(replica) and leader not in (None, replica.election.name)
+        return not self.is_entitled(replica) and leader not in (None, replica.election.node_name)
 
     def ask_scheduler(self, event: events.ApiRequest) -> SchedulerReply | None:
         """Queue a request for the scheduler and wait for its reply.
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -50,7 +50,7 @@
         deadline = context.runtime.now() + ELECTION_WAIT_S
         while True:
             leader = replica.election.current_leader()
-            if leader == replica.election.name and context.is_entitled(replica):
+            if leader == replica.election.node_name and context.is_entitled(replica):
                 return self._route(request)
             client = context.peer_clients.get(leader) if leader else None
             if client is not None:
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -57,7 +57,7 @@
         """Who leads, as far as this node knows."""
         lease, election = self._context.first_replica.lease, self._context.first_replica.election
         body = {
-            "name": election.name,
+            "name": election.node_name,
             "leading": lease.is_leader,
             "leader": election.leader,
             "token": max(lease.fencing_token, lease.highest_seen_token),
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -90,7 +90,7 @@
         """A machine reports to the leader, or to the relay that it is assigned to."""
         replica = self._context.first_replica
         election = replica.election
-        here = election.name
+        here = election.node_name
         relayed_fraction = election.current_relayed_fraction()
         relay = (
             relay_assignment.relay_for(heartbeat.machine, relayed_fraction, election.relays())
@@ -148,7 +148,7 @@
             return self._context.ask(
                 events.HeartbeatReceived(shard, self._context.runtime.queue(), heartbeat, tasks)
             )
-        leader, here = replica.election.current_leader(), replica.election.name
+        leader, here = replica.election.current_leader(), replica.election.node_name
         return respond(421, workers.redirect_body(None if leader == here else leader))
 
     def relayed_heartbeats(self, body: bytes) -> Response:
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -39,7 +39,7 @@
         conditions: CandidacyConditions | None = None,
     ) -> None:
         """``on_won`` and ``on_lost`` are called by the election's routine."""
-        self.name = dependencies.node_name
+        self.node_name = dependencies.node_name
         self.process_id = dependencies.process_id
         self.shard = dependencies.shard
         self.leader_key = dependencies.leader_key
@@ -219,7 +219,7 @@
             return
         self._key_free_since = None
         self._leaders.holder_read(LeaderRecord.from_item(page.items[0]))
-        if self.leader == self.name:
+        if self.leader == self.node_name:
             self._leaders.clear_leader()
             self._release_own_stale_key()
             self._stop.wait(FOLLOW_RETRY_S)
@@ -237,7 +237,7 @@
         leader elected while the first one counted on it.
         """
         item = self._store.get(self.leader_key)
-        if item is None or LeaderRecord.from_item(item).name != self.name:
+        if item is None or LeaderRecord.from_item(item).node_name != self.node_name:
             return
         if isinstance(item.lease, int):
             self._store.revoke_lease(item.lease)
--- a/appleshift/leader_election/leader_term.py
+++ b/appleshift/leader_election/leader_term.py
@@ -30,7 +30,7 @@
 class LeaderRecord:
     """The value of a holder key."""
 
-    name: str
+    node_name: str
     """Node that holds the shard; empty if the value is unreadable."""
     fencing_token: int
 
--- a/appleshift/leader_election/leader_tracker.py
+++ b/appleshift/leader_election/leader_tracker.py
@@ -43,9 +43,9 @@
     def holder_read(self, holder: LeaderRecord) -> None:
         """Take over what the holder key says."""
         self._leader_token = holder.fencing_token
-        self.last_holder = holder.name
-        if holder.name != self.leader:
-            self.leader, self._leader_since = holder.name, self._now()
+        self.last_holder = holder.node_name
+        if holder.node_name != self.leader:
+            self.leader, self._leader_since = holder.node_name, self._now()
 
     def elected(self, fencing_token: int) -> None:
         """Record that this node leads now."""
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -281,7 +281,7 @@
         first = self.replicas[0]
         leadership, election = first.lease, first.election
         status = peers.PeerStatus(
-            election.name,
+            election.node_name,
             leadership.is_leader,
             leadership.fencing_token,
             leadership.may_answer(now),
