--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -59,7 +59,7 @@
         body = {
             "name": election.node_name,
             "leading": lease.is_leader,
-            "leader": election.leader,
+            "leader": election.leader_from_store,
             "token": max(lease.fencing_token, lease.highest_seen_token),
             "relays": election.relays(),
             "sent_away": election.current_relayed_fraction(),
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -90,14 +90,14 @@
     # -- who leads and who relays ---------------------------------------------------
 
     @property
-    def leader(self) -> str | None:
+    def leader_from_store(self) -> str | None:
         """The leader by the holder key alone; None if there is none or it can't be read."""
-        return self._leaders.leader
+        return self._leaders.leader_from_store
 
     @property
-    def last_holder(self) -> str | None:
+    def last_leader_from_store(self) -> str | None:
         """The last node that the holder key named."""
-        return self._leaders.last_holder
+        return self._leaders.last_leader_from_store
 
     def current_leader(self) -> str | None:
         """Return who leads, by what peers say of themselves, else by the holder key."""
@@ -193,7 +193,7 @@
                     self._follow()
             except StoreError as error:
                 log.debug("store call failed shard=%d error=%s", self.shard, error)
-                if not self.lease.is_leader and self.leader is not None:
+                if not self.lease.is_leader and self.leader_from_store is not None:
                     # What the key said may be over; the statuses of peers are newer.
                     self._leaders.clear_leader()
                 self._stop.wait(STORE_RETRY_S)
@@ -219,7 +219,7 @@
             return
         self._key_free_since = None
         self._leaders.holder_read(LeaderRecord.from_item(page.items[0]))
-        if self.leader == self.node_name:
+        if self.leader_from_store == self.node_name:
             self._leaders.clear_leader()
             self._release_own_stale_key()
             self._stop.wait(FOLLOW_RETRY_S)
--- a/appleshift/leader_election/leader_tracker.py
+++ b/appleshift/leader_election/leader_tracker.py
@@ -32,9 +32,9 @@
         self._name = dependencies.node_name
         self._lease = dependencies.lease
         self._now = dependencies.runtime.now
-        self.leader: str | None = None
+        self.leader_from_store: str | None = None
         """The leader by the holder key; None if there is none, or the key can't be read."""
-        self.last_holder: str | None = None
+        self.last_leader_from_store: str | None = None
         """The last node that the holder key named."""
         self._leader_since = self._now()
         self._leader_token = 0
@@ -43,17 +43,17 @@
     def holder_read(self, holder: LeaderRecord) -> None:
         """Take over what the holder key says."""
         self._leader_token = holder.fencing_token
-        self.last_holder = holder.node_name
-        if holder.node_name != self.leader:
-            self.leader, self._leader_since = holder.node_name, self._now()
+        self.last_leader_from_store = holder.node_name
+        if holder.node_name != self.leader_from_store:
+            self.leader_from_store, self._leader_since = holder.node_name, self._now()
 
     def elected(self, fencing_token: int) -> None:
         """Record that this node leads now."""
-        self.leader, self._leader_token = self._name, fencing_token
+        self.leader_from_store, self._leader_token = self._name, fencing_token
 
     def clear_leader(self) -> None:
         """Forget what the holder key said. Only the claims of peers count until it is read."""
-        self.leader = None
+        self.leader_from_store = None
 
     def claim_received(self, peer: str, claim: PeerClaim) -> None:
         """Record what a peer said about its leadership."""
@@ -75,7 +75,7 @@
             for name, (received_at, entitled, token) in list(self._peer_claims.items())
             if entitled and now - received_at < PEER_STATUS_VALID_S
         ]
-        leader = self.leader
+        leader = self.leader_from_store
         if leader is not None:
             # The key may name a new leader before that has sent a status. The claim of a
             # leader that has just crashed must not hide its successor.
@@ -102,7 +102,7 @@
         if leader is None or leader == self._name or self._lease.is_leader:
             return False
         now = self._now()
-        if leader == self.leader and now - self._leader_since < PEER_STATUS_VALID_S:
+        if leader == self.leader_from_store and now - self._leader_since < PEER_STATUS_VALID_S:
             # Just elected, by the key: it is asked before it has sent a status.
             return True
         claim = self._peer_claims.get(leader, NO_CLAIM)
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -261,7 +261,7 @@
                 return 0.0
             ahead = any(each.name == move[1] for each in controllers)
         # Who held it is gone, though what it said of itself is not old yet.
-        former = self._replicas[shard].election.last_holder
+        former = self._replicas[shard].election.last_leader_from_store
         there = [each for each in controllers if each.name == name or each.name != former]
         rank = shard_assigner.candidates(shard, there).index(name)
         starting = now - self._began < GATHERING_S
