--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -48,7 +48,7 @@
         except ProtocolError as error:
             return respond(400, users.error_body(error.reason))
         reached = any(self._is_worker_reachable(address) for address in request.addresses)
-        reached = reached and self._context.first_replica.election.store_answers()
+        reached = reached and self._context.first_replica.election.is_store_reachable()
         return respond(200, peers.ConnectivityReply(reached))
 
     def shard_call(self, body: bytes) -> Response:
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -136,7 +136,7 @@
 
     def grant_vote(self, request: peers.LeaseVoteRequest) -> bool:
         """Promise a leader not to stand for a while; return False if that is refused."""
-        if request.duration_s > 0 and self.store_answers():
+        if request.duration_s > 0 and self.is_store_reachable():
             # The store refuses the leader alone: its lease is to run out, and a node that
             # can write is to lead. A vote would keep every node from being elected.
             return False
@@ -149,7 +149,7 @@
             request.process_id,
         )
 
-    def store_answers(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Ask the key-value store; return whether it answers this node right now."""
         try:
             self._store.get(self.leader_key, STORE_CHECK_TIMEOUT_S)
