--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -34,11 +34,11 @@
     def __init__(
         self,
         dependencies: ElectionDependencies,
-        on_won: Callable[[LeaderTerm], None],
-        on_lost: Callable[[], None],
+        on_election_won: Callable[[LeaderTerm], None],
+        on_leadership_lost: Callable[[], None],
         conditions: CandidacyConditions | None = None,
     ) -> None:
-        """``on_won`` and ``on_lost`` are called by the election's routine."""
+        """``on_election_won`` and ``on_leadership_lost`` are called by the election's routine."""
         self.node_name = dependencies.node_name
         self.process_id = dependencies.process_id
         self.shard = dependencies.shard
@@ -48,8 +48,8 @@
         self._conditions = conditions or CandidacyConditions()
         self._store = dependencies.store
         self._operator = dependencies.operator
-        self._on_won = on_won
-        self._on_lost = on_lost
+        self._on_election_won = on_election_won
+        self._on_leadership_lost = on_leadership_lost
         runtime = dependencies.runtime
         self._now = runtime.now
         self._handing_over = runtime.event()
@@ -267,7 +267,7 @@
         self._leaders.elected(token)
         self._key_free_since = None
         log.info("election won shard=%d token=%d", self.shard, token)
-        self._on_won(won.term)
+        self._on_election_won(won.term)
 
     def _renew(self) -> None:
         if self._fenced.is_set():
@@ -303,5 +303,5 @@
         self._fenced.clear()
         self._handing_over.clear()
         self._renewal_failing.clear()
-        self._on_lost()
+        self._on_leadership_lost()
         self._store.revoke_lease(self._lease_id)
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -65,8 +65,8 @@
                 process_id=context.process_id,
                 shard=shard,
             ),
-            on_won=lambda term: context.post(events.ElectionWon(term)),
-            on_lost=lambda: context.post(events.LeadershipLost(shard)),
+            on_election_won=lambda term: context.post(events.ElectionWon(term)),
+            on_leadership_lost=lambda: context.post(events.LeadershipLost(shard)),
             conditions=CandidacyConditions(
                 extra_guards,
                 # The leader assigns the further shards to nodes. The node sets the delay
