--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -74,7 +74,7 @@
         """Give up leadership at once, so that another node need not wait."""
         self._stop.set()
         if self.lease.is_leader:
-            self.lease.lost()
+            self.lease.end_term()
             self._store.revoke_lease(self._lease_id)
 
     def step_down(self) -> None:
@@ -263,7 +263,7 @@
         self._lease_id = won.lease_id
         self._fenced.clear()
         self._renewal_failing.clear()
-        self.lease.won(token, won.lease_requested_at, self._operator.leader_lease_s)
+        self.lease.begin_term(token, won.lease_requested_at, self._operator.leader_lease_s)
         self._leaders.elected(token)
         self._key_free_since = None
         log.info("election won shard=%d token=%d", self.shard, token)
@@ -290,7 +290,7 @@
             self._renewal_failing.set()
             self._stop.wait(STORE_RETRY_S)
             return
-        self.lease.renewed(sent_at, self._operator.leader_lease_s)
+        self.lease.record_renewal(sent_at, self._operator.leader_lease_s)
         if self._renewal_failing.is_set():
             log.info("lease renewed again shard=%d", self.shard)
             self._renewal_failing.clear()
@@ -298,7 +298,7 @@
 
     def _lose_leadership(self, reason: str) -> None:
         log.info("leadership lost shard=%d reason=%s", self.shard, reason)
-        self.lease.lost()
+        self.lease.end_term()
         self._leaders.clear_leader()
         self._fenced.clear()
         self._handing_over.clear()
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -119,7 +119,7 @@
         """Return whether a transaction without an answer may yet elect this node."""
         return self._candidacy_unresolved
 
-    def won(self, fencing_token: int, lease_requested_at: float, ttl_s: float) -> None:
+    def begin_term(self, fencing_token: int, lease_requested_at: float, ttl_s: float) -> None:
         """Begin a term; the lease of ``ttl_s`` runs from when it was requested."""
         with self._lock:
             self._is_candidate = self._candidacy_unresolved = False
@@ -130,12 +130,12 @@
             self._quorum_until = 0.0
             self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT - MARGIN_S
 
-    def renewed(self, sent_at: float, ttl_s: float) -> None:
+    def record_renewal(self, sent_at: float, ttl_s: float) -> None:
         """Extend the lease from when its renewal was sent."""
         with self._lock:
             self._lease_until = max(self._lease_until, sent_at + ttl_s / CLOCK_DRIFT - MARGIN_S)
 
-    def lost(self) -> None:
+    def end_term(self) -> None:
         """End the term."""
         with self._lock:
             self.is_leader = False
