--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -159,7 +159,7 @@
 
     def peer_restarted(self, peer: str, ended_process_id: str) -> None:
         """Drop what a peer's earlier process said of itself, and what it was promised."""
-        self.lease.process_ended(ended_process_id)
+        self.lease.record_process_ended(ended_process_id)
         self._leaders.forget_peer(peer)
         self._relays.forget_peer(peer)
 
@@ -168,12 +168,12 @@
     ) -> None:
         """Record a peer's status; ``held`` is its claim to this shard, None if it has none."""
         now = self._now()
-        self.lease.peer_heard(peer, status.process_id, now)
+        self.lease.record_peer_process(peer, status.process_id, now)
         entitled = held is not None and held.entitled
         token = 0 if held is None else held.fencing_token
         self._leaders.claim_received(peer, PeerClaim(now, entitled, token))
         if held is None:
-            self.lease.peer_does_not_lead(peer)
+            self.lease.record_peer_not_leading(peer)
         elif self.lease.is_leader and token > self.lease.fencing_token:
             # It could only be elected once our key was gone. Cut off from the key-value
             # store, a leader that was replaced once went on for 39 s.
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -91,7 +91,7 @@
 
     # -- candidacy and term -----------------------------------------------------
 
-    def peer_does_not_lead(self, peer: str) -> None:
+    def record_peer_not_leading(self, peer: str) -> None:
         """Record that a peer said, after this node's start, that it does not lead."""
         with self._lock:
             self._peers_not_leading.add(peer)
@@ -144,7 +144,7 @@
 
     # -- votes of the peers, while this node leads ------------------------------
 
-    def peer_heard(self, peer: str, process_id: str, now: float) -> None:
+    def record_peer_process(self, peer: str, process_id: str, now: float) -> None:
         """Record which process of a peer answered, if this node is entitled at ``now``."""
         with self._lock:
             if process_id and self.may_answer(now):
@@ -173,7 +173,7 @@
 
     # -- the vote that this node grants ------------------------------------------
 
-    def process_ended(self, process_id: str) -> None:
+    def record_process_ended(self, process_id: str) -> None:
         """Void the vote granted to a process, since a later one of its node has answered."""
         if not process_id:
             # Nodes of an older version do not say which process they are.
