--- a/appleshift/leader_election/candidacy.py
+++ b/appleshift/leader_election/candidacy.py
@@ -76,7 +76,7 @@
 
         Raises StoreError if the key-value store gives no usable answer.
         """
-        if self._lease.candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
+        if self._lease.is_candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
             return False
         attempt = _Attempt()
         try:
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -32,7 +32,7 @@
 
 CLOCK_DRIFT = 1.002
 """Ratio by which two nodes' clocks may differ in speed."""
-MARGIN_S = 0.05
+SAFETY_MARGIN_S = 0.05
 """Taken off each bound, for the time that passes between a check and what it allows."""
 ENDED_PROCESSES_KEPT = 64
 """Requests of processes that ended before so many others are too old to arrive."""
@@ -50,13 +50,18 @@
 class LeaderLease:
     """The leader's lease and the lease votes of one shard, seen from one node."""
 
-    def __init__(self, peers: list[str], vote_s: float, now: float) -> None:
-        """Hold back until votes of at most ``vote_s`` seconds granted before ``now`` end."""
+    def __init__(self, peers: list[str], vote_duration_s: float, now: float) -> None:
+        """Grant no candidacy until lease votes granted before ``now`` have expired.
+
+        ``vote_duration_s`` is the longest duration of a lease vote.
+        """
         self._lock = threading.Lock()
         self._peers = peers
-        self._vote_s = vote_s
+        self._vote_duration_s = vote_duration_s
         # A vote granted before a restart holds until then.
-        self._startup_hold_until = now + vote_s * CLOCK_DRIFT + MARGIN_S if peers else now
+        self._startup_hold_until = (
+            now + vote_duration_s * CLOCK_DRIFT + SAFETY_MARGIN_S if peers else now
+        )
         self._peers_not_leading: set[str] = set()
         self._granted_vote: _GrantedVote | None = None
         self._ended_processes: deque[str] = deque(maxlen=ENDED_PROCESSES_KEPT)
@@ -96,7 +101,7 @@
         with self._lock:
             self._peers_not_leading.add(peer)
 
-    def startup_hold_over(self, now: float) -> bool:
+    def startup_hold_expired(self, now: float) -> bool:
         """Return whether no vote that an earlier process granted can bind this node."""
         return now >= self._startup_hold_until or self._peers_not_leading.issuperset(self._peers)
 
@@ -104,7 +109,7 @@
         """Become a candidate, unless this node leads or a vote of it binds it."""
         with self._lock:
             bound = self._granted_vote is not None and now < self._granted_vote.until
-            if self.is_leader or bound or not self.startup_hold_over(now):
+            if self.is_leader or bound or not self.startup_hold_expired(now):
                 return False
             self._is_candidate = True
             return True
@@ -115,7 +120,7 @@
             self._is_candidate = False
             self._candidacy_unresolved = not resolved
 
-    def candidacy_unresolved(self) -> bool:
+    def is_candidacy_unresolved(self) -> bool:
         """Return whether a transaction without an answer may yet elect this node."""
         return self._candidacy_unresolved
 
@@ -128,12 +133,14 @@
             self._votes_until.clear()
             self._peer_processes.clear()
             self._quorum_until = 0.0
-            self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT - MARGIN_S
+            self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT - SAFETY_MARGIN_S
 
     def record_renewal(self, sent_at: float, ttl_s: float) -> None:
         """Extend the lease from when its renewal was sent."""
         with self._lock:
-            self._lease_until = max(self._lease_until, sent_at + ttl_s / CLOCK_DRIFT - MARGIN_S)
+            self._lease_until = max(
+                self._lease_until, sent_at + ttl_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+            )
 
     def end_term(self) -> None:
         """End the term."""
@@ -161,7 +168,9 @@
                 # This node's time had run out, and an earlier process of that peer may have
                 # been elected since.
                 return
-            self._votes_until[peer] = sent_at + self._vote_s / CLOCK_DRIFT - MARGIN_S
+            self._votes_until[peer] = (
+                sent_at + self._vote_duration_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+            )
             if self._votes_until.keys() >= set(self._peers):
                 self._quorum_until = min(self._votes_until.values())
 
@@ -214,7 +223,11 @@
                     return False
             # The vote outlasts the leader's count of it, and is never longer than a restart
             # of this node would wait out.
-            until = now + min(duration_s, self._vote_s) * CLOCK_DRIFT if duration_s > 0 else 0.0
+            until = (
+                now + min(duration_s, self._vote_duration_s) * CLOCK_DRIFT
+                if duration_s > 0
+                else 0.0
+            )
             self.highest_seen_token = fencing_token
             self._granted_vote = _GrantedVote(leader, process_id, fencing_token, seq, until)
             return True
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -83,7 +83,7 @@
                 log.debug("peer status request failed peer=%s error=%s", peer, error)
                 self.reachable_since.pop(peer, None)
             now = self._runtime.now()
-            startup_over = all(election.lease.startup_hold_over(now) for election in elections)
+            startup_over = all(election.lease.startup_hold_expired(now) for election in elections)
             self._stop.wait(STATUS_INTERVAL_S if startup_over else STARTUP_STATUS_INTERVAL_S)
 
     def _status_received(
