--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -14,7 +14,7 @@
 from appleshift.api.context import ApiContext
 from appleshift.api.responses import SchedulerReply, respond, unavailable
 from appleshift.api.views import ShardReplicaView
-from appleshift.leader_election.leader_lease import CLOCK_DRIFT
+from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.protocol import users
 from appleshift.transport.client import HttpAnswer
 from appleshift.transport.http_messages import Response
@@ -68,7 +68,7 @@
         if valid_for_ms is None or not valid_for_ms.isdecimal():
             # A final state, a refusal, or a peer of a version that does not send the header.
             return Response(answer.status, answer.body, headers)
-        valid_until = asked_at + int(valid_for_ms) / 1000 / CLOCK_DRIFT
+        valid_until = asked_at + int(valid_for_ms) / 1000 / CLOCK_DRIFT_RATIO
 
         def revalidate(received: Response) -> Response:
             return received if self._context.runtime.now() < valid_until else unavailable()
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -30,7 +30,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-CLOCK_DRIFT = 1.002
+CLOCK_DRIFT_RATIO = 1.002
 """Ratio by which two nodes' clocks may differ in speed."""
 SAFETY_MARGIN_S = 0.05
 """Taken off each bound, for the time that passes between a check and what it allows."""
@@ -60,7 +60,7 @@
         self._vote_duration_s = vote_duration_s
         # A vote granted before a restart holds until then.
         self._startup_hold_until = (
-            now + vote_duration_s * CLOCK_DRIFT + SAFETY_MARGIN_S if peers else now
+            now + vote_duration_s * CLOCK_DRIFT_RATIO + SAFETY_MARGIN_S if peers else now
         )
         self._peers_not_leading: set[str] = set()
         self._granted_vote: _GrantedVote | None = None
@@ -133,13 +133,13 @@
             self._votes_until.clear()
             self._peer_processes.clear()
             self._quorum_until = 0.0
-            self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+            self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
 
     def record_renewal(self, sent_at: float, ttl_s: float) -> None:
         """Extend the lease from when its renewal was sent."""
         with self._lock:
             self._lease_until = max(
-                self._lease_until, sent_at + ttl_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+                self._lease_until, sent_at + ttl_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
             )
 
     def end_term(self) -> None:
@@ -169,7 +169,7 @@
                 # been elected since.
                 return
             self._votes_until[peer] = (
-                sent_at + self._vote_duration_s / CLOCK_DRIFT - SAFETY_MARGIN_S
+                sent_at + self._vote_duration_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
             )
             if self._votes_until.keys() >= set(self._peers):
                 self._quorum_until = min(self._votes_until.values())
@@ -224,7 +224,7 @@
             # The vote outlasts the leader's count of it, and is never longer than a restart
             # of this node would wait out.
             until = (
-                now + min(duration_s, self._vote_duration_s) * CLOCK_DRIFT
+                now + min(duration_s, self._vote_duration_s) * CLOCK_DRIFT_RATIO
                 if duration_s > 0
                 else 0.0
             )
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -17,7 +17,7 @@
 from appleshift.contracts.actions import Action, Reply
 from appleshift.dispatch.worker_commands import WorkerCommands
 from appleshift.heartbeat_ingest.fast_path import FastPath
-from appleshift.leader_election.leader_lease import CLOCK_DRIFT
+from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.machines.fleet import Fleet
 from appleshift.machines.liveness import MachineLiveness
 from appleshift.node_limits.time_budget import TimeBudget
@@ -83,7 +83,7 @@
         self._tick_budget = TimeBudget(self.clock, TICK_TIME_SHARE)
         self.unsaved_final_states = list(dependencies.replayer.unsaved_final_states)
         workers = self.settings.deployment.workers
-        self.worker_lease_s = workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+        self.worker_lease_s = workers.lease_s * CLOCK_DRIFT_RATIO + LEASE_MARGIN_S
         self._build_parts(dependencies.replayer)
         if self.sharding is not None:
             self.sharding.attach(self)
