--- a/appleshift/leader_election/candidacy.py
+++ b/appleshift/leader_election/candidacy.py
@@ -63,7 +63,7 @@
         self._attempt_number = 0
         self._unresolved_lease_id: int | None = None
 
-    def resolve(self) -> None:
+    def revoke_unresolved_lease(self) -> None:
         """End the lease of an attempt that got no answer: until then it may yet be applied."""
         if self._unresolved_lease_id is None:
             return
@@ -71,7 +71,7 @@
             self._unresolved_lease_id = None
             self._lease.end_candidacy(resolved=True)
 
-    def stand(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
+    def attempt_election(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
         """Try to be elected; return whether there is a leader now, whoever it is.
 
         Raises StoreError if the key-value store gives no usable answer.
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -207,7 +207,7 @@
 
     def _follow(self) -> None:
         """Read the holder key; stand for it while it is free, else wait until it changes."""
-        self._candidacy.resolve()
+        self._candidacy.revoke_unresolved_lease()
         # Read as a page, which has the store's revision. A watch from the key's own
         # revision is refused once enough other changes have followed: then every
         # follower of a long term asked as fast as its rate limit allowed.
@@ -256,7 +256,7 @@
         extra_guards = self._conditions.extra_guards()
         if self._now() < self._candidate_after or extra_guards is None:
             return False
-        return self._candidacy.stand(extra_guards)
+        return self._candidacy.attempt_election(extra_guards)
 
     def _begin_leading(self, won: WonElection) -> None:
         token = won.term.fencing_token
