--- a/appleshift/leader_election/dependencies.py
+++ b/appleshift/leader_election/dependencies.py
@@ -34,7 +34,7 @@
         """The key whose owner holds the shard."""
         return leader_key(self.shard)
 
-    def routine_name(self, purpose: str) -> str:
+    def thread_name(self, purpose: str) -> str:
         """Name a routine of this election, so that those of several shards differ."""
         return f"{purpose}-{self.shard}" if self.shard else purpose
 
--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         """Start the routines."""
-        name = self._dependencies.routine_name("election")
+        name = self._dependencies.thread_name("election")
         self._dependencies.runtime.spawn(name, self._run)
         self._vote_collector.start()
 
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -37,10 +37,10 @@
         post: Callable[[events.Event], None],
         current_term: Callable[[], LeaderTerm | None],
         runtime: Runtime,
-        name: str = "commit",
+        thread_name: str = "commit",
     ) -> None:
         """Post the outcomes with ``post``; give up once ``current_term`` is another one."""
-        self._name = name
+        self._thread_name = thread_name
         self._store = store
         self._post = post
         self._current_term = current_term
@@ -50,14 +50,14 @@
 
     def start(self) -> None:
         """Start the routine."""
-        self._runtime.spawn(self._name, self._run)
+        self._runtime.spawn(self._thread_name, self._run)
 
     def stop(self) -> None:
         """End the routine; what is not committed by then stays undecided."""
         self._stop.set()
         self._queue.put(None)
 
-    def send(self, transaction: Transaction, term: LeaderTerm) -> None:
+    def enqueue(self, transaction: Transaction, term: LeaderTerm) -> None:
         """Commit a transaction of ``term``; the outcome comes back as an event."""
         self._queue.put(_PendingCommit(transaction, term))
 
--- a/appleshift/leader_election/vote_collector.py
+++ b/appleshift/leader_election/vote_collector.py
@@ -34,7 +34,7 @@
     def start(self) -> None:
         """Start a routine for each peer."""
         for peer in self._dependencies.peer_clients:
-            name = self._dependencies.routine_name(f"lease-votes-{peer}")
+            name = self._dependencies.thread_name(f"lease-votes-{peer}")
             self._dependencies.runtime.spawn(name, self._collect_votes, peer)
 
     def _collect_votes(self, peer: str) -> None:
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -154,7 +154,7 @@
             transaction = scheduler.write_ahead_log.next_transaction(now)
             if transaction is not None:
                 assert self.term is not None, "a scheduler without a term"
-                self.committer.send(transaction, self.term)
+                self.committer.enqueue(transaction, self.term)
         if scheduler.counted_resources is not None and self.lease.may_answer(now):
             self._call_license_servers(scheduler.counted_resources, now)
         for action in scheduler.take_actions():
