--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -52,12 +52,12 @@
         self._elections = elections
         self._runtime = runtime
         self._stop = runtime.event()
-        self.last_status: dict[str, tuple[float, peers.PeerStatus]] = {}
+        self.last_statuses: dict[str, tuple[float, peers.PeerStatus]] = {}
         """By peer: when it last answered, and what."""
         self.reachable_since: dict[str, float] = {}
         """By peer: since when it has answered without an interruption."""
         self._process_ids: dict[str, str] = {}
-        self.shard_map_version = 0
+        self.newest_shard_map_version = 0
         """The newest shard map that a peer uses; 0: none does."""
 
     def start(self) -> None:
@@ -90,9 +90,9 @@
         self, peer: str, status: peers.PeerStatus, elections: list[LeaderElection]
     ) -> None:
         now = self._runtime.now()
-        self.last_status[peer] = (now, status)
+        self.last_statuses[peer] = (now, status)
         self.reachable_since.setdefault(peer, now)
-        self.shard_map_version = max(self.shard_map_version, status.shard_map_version)
+        self.newest_shard_map_version = max(self.newest_shard_map_version, status.shard_map_version)
         previous_process_id = self._process_ids.get(peer, status.process_id)
         self._process_ids[peer] = status.process_id
         if previous_process_id != status.process_id:
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -325,7 +325,7 @@
             replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
-        elif self._peer_monitor.shard_map_version:
+        elif self._peer_monitor.newest_shard_map_version:
             # A peer follows a shard map that this node has not received.
             self._follow_shard_map()
         scheduler = self.scheduler
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -102,7 +102,10 @@
         """Learn of the map once there is one, and whenever a peer has a newer."""
         while not self.context.stop.is_set():
             try:
-                if self.shard_map is None or self._peer_monitor.shard_map_version > self.version:
+                if (
+                    self.shard_map is None
+                    or self._peer_monitor.newest_shard_map_version > self.version
+                ):
                     self._install_map(*self._read_map())
             except (StoreError, ProtocolError) as error:
                 log.debug("reading the shard map failed error=%s", error)
@@ -222,7 +225,7 @@
         held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
         found = [ControllerLoad(name, held, now - self._began)]
         for peer in self.context.peer_clients:
-            at, status = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
+            at, status = self._peer_monitor.last_statuses.get(peer, (float("-inf"), None))
             if status is not None and now - at < PEER_STATUS_VALID_S and status.shard_map_version:
                 count = len(status.held_shards) + status.leading
                 since = self._peer_monitor.reachable_since.get(peer, now)
@@ -236,7 +239,7 @@
         if self._replicas[0].lease.may_answer(now):
             return self._move
         best: tuple[int, peers.PeerStatus] | None = None
-        for at, status in list(self._peer_monitor.last_status.values()):
+        for at, status in list(self._peer_monitor.last_statuses.values()):
             if (
                 status.entitled
                 and now - at < PEER_STATUS_VALID_S
