--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -245,8 +245,8 @@
         self.router.stop()
         if self.shard_map_follower is not None:
             self.shard_map_follower.stop()
-        if self._context.license_servers is not None:
-            self._context.license_servers.stop()
+        if self._context.license_server_calls is not None:
+            self._context.license_server_calls.stop()
 
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
--- a/appleshift/node_context.py
+++ b/appleshift/node_context.py
@@ -53,12 +53,12 @@
     """Hands an event to the schedulers' routine."""
     process_id: str
     """Tells this process from earlier and later ones of the same node."""
-    workers: WorkerCalls
-    cloud: CloudCalls
+    worker_calls: WorkerCalls
+    cloud_calls: CloudCalls
     stop: Event
     shard_map_follower: ShardCoordination | None = None
     """Set once there is a shard map, or the operators want more than one shard."""
     candidacy_delay_s: Callable[[], float] = float
     """For how many seconds this node leaves a free key to peers that reach more."""
-    license_servers: LicenseServerCalls | None = None
+    license_server_calls: LicenseServerCalls | None = None
     """Made when the first licence server is to be asked."""
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -179,17 +179,17 @@
     def _call_license_servers(self, resources: CountedResources, now: float) -> None:
         context = self.context
         for request in resources.reservation_requests(now):
-            if context.license_servers is None:
+            if context.license_server_calls is None:
                 # Loaded only where a licence server is to be asked.
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
-                context.license_servers = LicenseServerCalls(
+                context.license_server_calls = LicenseServerCalls(
                     context.post,
                     context.connect,
                     context.runtime,
                     lambda: self.lease.may_answer(context.runtime.now()),
                 )
-            context.license_servers.send(request, self.term)
+            context.license_server_calls.send(request, self.term)
 
     def _execute(self, action: Action) -> None:
         context, term = self.context, self.term
@@ -197,13 +197,13 @@
             case Reply():
                 action.reply_to.put((action.status, action.body, action.retry_after))
             case SendCommands():
-                context.workers.send_commands(action, term)
+                context.worker_calls.send_commands(action, term)
             case ProbeMachine():
-                context.workers.probe(action, term)
+                context.worker_calls.probe(action, term)
             case RentMachines():
-                context.cloud.rent(action, term, self._entitlement_check(term))
+                context.cloud_calls.rent(action, term, self._entitlement_check(term))
             case DeleteMachines():
-                context.cloud.delete(action, term, self._entitlement_check(term))
+                context.cloud_calls.delete(action, term, self._entitlement_check(term))
             case CallShard() if context.shard_map_follower is not None:
                 context.shard_map_follower.call_shard(action, term)
 
@@ -232,7 +232,7 @@
         self.term = term
         if not self.shard:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
-            self.context.cloud.set_term(term)
+            self.context.cloud_calls.set_term(term)
         cluster = recovered.replayer.cluster
         log.info(
             "term started shard=%d token=%d jobs=%d machines=%d recovery_ms=%.0f",
@@ -258,7 +258,7 @@
         self._draining_since = None
         if not self.shard:
             self.election.relayed_fraction = 0.0
-            self.context.cloud.set_term(None)
+            self.context.cloud_calls.set_term(None)
         if scheduler is not None:
             scheduler.end_term()
             for action in scheduler.take_actions():
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -164,7 +164,7 @@
             if not leaving or leaving & self._shards_with_work(replayer, leaving):
                 self._install_map(value, version)
                 return
-        kinds = replayer.cluster.types or self.context.cloud.machine_types()
+        kinds = replayer.cluster.types or self.context.cloud_calls.machine_types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
         teams = self.context.settings.deployment.teams
         epochs: list[ShardMapEpoch] = [] if value is None else value.epochs
