--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -29,7 +29,7 @@
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.shard_event_handlers import handle_request, handle_term_event
 from appleshift.storage.key_value_store import CompareFailedError
-from appleshift.term_recovery import recover_term, start_scheduler
+from appleshift.term_recovery import create_scheduler, recover_term
 
 log = logging.getLogger(__name__)
 
@@ -222,7 +222,7 @@
             return
         now = self.context.runtime.now()
         self._draining_since = None
-        self.scheduler = start_scheduler(self.context, self.lease, term, recovered, now)
+        self.scheduler = create_scheduler(self.context, self.lease, term, recovered, now)
         self.achieved_objectives = AchievedObjectives(
             self.scheduler.cluster,
             self.scheduler.objectives,
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -61,7 +61,7 @@
     return None
 
 
-def start_scheduler(
+def create_scheduler(
     context: NodeContext,
     lease: LeaseHolder,
     term: LeaderTerm,
