--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -317,7 +317,7 @@
 
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
-        busy = any(replica.is_busy() for replica in replicas)
+        busy = any(replica.has_pending_work() for replica in replicas)
         event = self._next_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
         began = self.runtime.now()
         handled = 0 if event is None else self._handle_waiting(event)
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -102,7 +102,7 @@
         """Handle an event that is for this shard, or for all."""
         match event:
             case events.HandOverRequested():
-                self.hand_over()
+                self.start_hand_over()
             case events.ApiRequest():
                 self._handle_request(event)
             case events.ElectionWon():
@@ -135,7 +135,7 @@
 
     # -- rounds of the scheduler ----------------------------------------------------
 
-    def is_busy(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether the next round has work that need not wait for an event."""
         return self.scheduler is not None and (
             self.scheduler.placement_needed or self.scheduler.write_ahead_log.backlog() > 0
@@ -165,7 +165,7 @@
             self._draining_since = None
             self.election.hand_over()
 
-    def hand_over(self) -> None:
+    def start_hand_over(self) -> None:
         """Begin to leave the shard: accepted requests become durable, no more are accepted."""
         if self.scheduler is not None and not self.scheduler.draining:
             log.info("handing over shard=%d", self.shard)
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -296,7 +296,7 @@
             replica = self._replicas.get(move[0])
             there = any(each.name == move[1] for each in self.controllers(now))
             if replica is not None and replica.lease.may_write(now) and there:
-                replica.hand_over()
+                replica.start_hand_over()
 
     def _set_max_machines(self, shares: int) -> None:
         """How many machines may be rented: so many that each node hears its part.
