--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -171,7 +171,7 @@
         self.lease.record_peer_process(peer, status.process_id, now)
         entitled = held is not None and held.entitled
         token = 0 if held is None else held.fencing_token
-        self._leaders.claim_received(peer, PeerClaim(now, entitled, token))
+        self._leaders.record_claim(peer, PeerClaim(now, entitled, token))
         if held is None:
             self.lease.record_peer_not_leading(peer)
         elif self.lease.is_leader and token > self.lease.fencing_token:
@@ -180,7 +180,7 @@
             log.info("leadership superseded shard=%d leader=%s token=%d", self.shard, peer, token)
             self.step_down()
         if not self.shard:
-            self._relays.status_received(peer, status, now)
+            self._relays.record_status(peer, status, now)
 
     # -- the election's routine -----------------------------------------------------
 
@@ -218,7 +218,7 @@
                 self._stop.wait(CANDIDACY_RETRY_S)
             return
         self._key_free_since = None
-        self._leaders.holder_read(LeaderRecord.from_item(page.items[0]))
+        self._leaders.record_leader_key(LeaderRecord.from_item(page.items[0]))
         if self.leader_from_store == self.node_name:
             self._leaders.clear_leader()
             self._release_own_stale_key()
@@ -264,7 +264,7 @@
         self._fenced.clear()
         self._renewal_failing.clear()
         self.lease.begin_term(token, won.lease_requested_at, self._operator.leader_lease_s)
-        self._leaders.elected(token)
+        self._leaders.record_own_election(token)
         self._key_free_since = None
         log.info("election won shard=%d token=%d", self.shard, token)
         self._on_election_won(won.term)
--- a/appleshift/leader_election/leader_tracker.py
+++ b/appleshift/leader_election/leader_tracker.py
@@ -40,14 +40,14 @@
         self._leader_token = 0
         self._peer_claims: dict[str, PeerClaim] = {}
 
-    def holder_read(self, holder: LeaderRecord) -> None:
+    def record_leader_key(self, holder: LeaderRecord) -> None:
         """Take over what the holder key says."""
         self._leader_token = holder.fencing_token
         self.last_leader_from_store = holder.node_name
         if holder.node_name != self.leader_from_store:
             self.leader_from_store, self._leader_since = holder.node_name, self._now()
 
-    def elected(self, fencing_token: int) -> None:
+    def record_own_election(self, fencing_token: int) -> None:
         """Record that this node leads now."""
         self.leader_from_store, self._leader_token = self._name, fencing_token
 
@@ -55,7 +55,7 @@
         """Forget what the holder key said. Only the claims of peers count until it is read."""
         self.leader_from_store = None
 
-    def claim_received(self, peer: str, claim: PeerClaim) -> None:
+    def record_claim(self, peer: str, claim: PeerClaim) -> None:
         """Record what a peer said about its leadership."""
         self._peer_claims[peer] = claim
 
--- a/appleshift/leader_election/relay_tracker.py
+++ b/appleshift/leader_election/relay_tracker.py
@@ -25,7 +25,7 @@
         self._last_fraction_at = float("-inf")
         self._last_fraction = 0.0
 
-    def status_received(self, peer: str, status: peers.PeerStatus, now: float) -> None:
+    def record_status(self, peer: str, status: peers.PeerStatus, now: float) -> None:
         """Record whether a peer relays and, if it leads, which fraction it sends to relays."""
         if status.entitled:
             self._last_fraction_at, self._last_fraction = now, status.relayed_fraction
