--- a/appleshift/leader_election/candidacy.py
+++ b/appleshift/leader_election/candidacy.py
@@ -1,4 +1,4 @@
-"""A node's candidacy: one transaction that takes the holder key and a new fencing token."""
+"""Candidacy of a node: one transaction writes the leader key and a new fencing token."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WonElection:
-    """A term that begins, and the lease that its holder key is bound to."""
+    """The term of an election won, and the store lease to which its leader key is attached."""
 
     term: LeaderTerm
     lease_id: int
     lease_requested_at: float
-    """The lease runs from here at the earliest, by this node's monotonic clock."""
+    """Time of the lease request, by this node's monotonic clock; the lease begins no earlier."""
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """How far an attempt has come, for what must be undone when it fails."""
+    """State of an election attempt, which determines the cleanup if it fails."""
 
     lease_id: int | None = None
     resolved: bool = True
-    """No transaction of this attempt can be applied any more."""
+    """Whether no transaction of this attempt can still be applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Proposal:
-    """The term to win, and the transaction that wins it."""
+    """The proposed term, and the transaction that begins it."""
 
     fencing_token: int
     term_id: str
@@ -49,12 +49,12 @@
 
 
 class Candidacy:
-    """Used by the election's routine alone."""
+    """Attempts to be elected leader of a shard; used only by the election's thread."""
 
     def __init__(
         self, dependencies: ElectionDependencies, on_elected: Callable[[WonElection], None]
     ) -> None:
-        """``on_elected`` must begin the leader's lease before it returns."""
+        """Call ``on_elected`` on success; it must begin the leader lease before it returns."""
         self._dependencies = dependencies
         self._store = dependencies.store
         self._lease = dependencies.lease
@@ -64,7 +64,7 @@
         self._unresolved_lease_id: int | None = None
 
     def revoke_unresolved_lease(self) -> None:
-        """End the lease of an attempt that got no answer: until then it may yet be applied."""
+        """Revoke the lease of an attempt without response, whose transaction may still apply."""
         if self._unresolved_lease_id is None:
             return
         if self._store.revoke_lease(self._unresolved_lease_id):
@@ -72,9 +72,9 @@
             self._lease.end_candidacy(resolved=True)
 
     def attempt_election(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
-        """Try to be elected; return whether there is a leader now, whoever it is.
+        """Try to be elected; return whether this node or another one is now leader.
 
-        Raises StoreError if the key-value store gives no usable answer.
+        Raises StoreError if the key-value store gives no usable response.
         """
         if self._lease.is_candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
             return False
@@ -97,8 +97,8 @@
         except (CompareFailedError, LeaseExpiredError) as error:
             attempt.resolved = True
             log.debug("election not won shard=%d error=%s", dependencies.shard, error)
-            # Unless an extra guard failed, another node was elected: the caller is to
-            # find out which one without a pause.
+            # Unless an extra guard failed, another node was elected. The caller then reads
+            # the leader key again without a pause.
             extra_keys = {key for key, _ in extra_guards}
             return isinstance(error, CompareFailedError) and not extra_keys & {*error.failed}
         except StoreError as error:
--- a/appleshift/leader_election/dependencies.py
+++ b/appleshift/leader_election/dependencies.py
@@ -1,4 +1,4 @@
-"""What a shard's election needs from its node, and when the node may be a candidate."""
+"""Dependencies of a shard's leader election, and conditions for a candidacy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ElectionDependencies:
-    """The node, its connections and the shard that one election is about."""
+    """The node, the clients, the settings and the shard of one leader election."""
 
     node_name: str
     store: KeyValueStore
@@ -24,26 +24,26 @@
     operator: OperatorSettings
     runtime: Runtime
     term_id_prefix: str
-    """Unique to this process and shard; the terms won by it are numbered behind it."""
+    """Prefix of term ids, unique to this process and shard; an attempt number follows it."""
     process_id: str = ""
-    """Tells this process from earlier and later ones of the same node."""
+    """Distinguishes this process from earlier and later processes of the same node."""
     shard: int = 0
 
     @property
     def leader_key(self) -> str:
-        """The key whose owner holds the shard."""
+        """The key in the key-value store that names the shard's leader."""
         return leader_key(self.shard)
 
     def thread_name(self, purpose: str) -> str:
-        """Name a routine of this election, so that those of several shards differ."""
+        """Return a thread name for ``purpose``, unique among the elections of several shards."""
         return f"{purpose}-{self.shard}" if self.shard else purpose
 
 
 @dataclass(frozen=True, slots=True)
 class CandidacyConditions:
-    """When a node may be a candidate, besides the key being free."""
+    """Conditions for a candidacy, in addition to a free leader key."""
 
     extra_guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple
-    """Further keys, with versions, that a term depends on; None: no election is possible now."""
+    """Returns more keys and versions that guard a term; None: no election is possible now."""
     candidacy_delay_s: Callable[[], float] = float
-    """For how many seconds a free key is left to other nodes."""
+    """Returns the seconds for which this node leaves a free leader key to other nodes."""
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -1,27 +1,28 @@
-"""What this node may do right now, and which vote it has granted to a peer.
-
-Only times are kept here, all under one lock, so that no path through the routines can
-both grant a vote and stand. All times are of this node's monotonic clock; bounds that
-other nodes count too are shortened by the drift that clocks may have.
-
-Why votes are enough: the leader is the only one while its lease holds. If every peer
-grants it a vote, while the leader is still entitled, and so does not stand until a time
-beyond that, no node can have been elected until the earliest of those times, whatever
-the key-value store does. One missing vote is as good as none. A peer that restarts has
-forgotten its vote and waits it out, unless all its peers tell it that none of them leads.
-
-When the leader's time ran out before it had all votes, a node may have been elected
-meanwhile, but only a peer may: a node elected with a newer fencing token refuses a vote
-for an older one for as long as its process lives. So if every peer grants one, each by
-the very process that the leader heard while it was still entitled, no node was elected
-in between, and the leader may go on. Without that, a store that refused the leader for
-a second and a half and then every node left no node entitled for the whole outage, and
-all tasks on all machines ended with the workers' leases.
-
-A vote is granted to a process, not to a node. Once a later process of that node has
-answered, the one that asked has ended, since a process takes its port before it does
-anything else. The vote it was granted binds no node any more, and a request of it that
-was held back in the network is refused.
+"""The leader lease of one shard and the lease vote that this node has granted to a peer.
+
+This module keeps only times, all under one lock, so that no thread can grant a vote while
+another thread makes this node a candidate. All times are readings of this node's monotonic
+clock. Durations that another node measures as well are shortened by the clock drift ratio.
+
+Why votes suffice without the key-value store: while its lease is valid, the leader is the
+only one. If every peer grants it a vote while it is still entitled, no peer becomes a
+candidate before its vote expires. No node can therefore be elected before the earliest
+vote expires, whatever the key-value store does. All peers must vote: a single missing vote
+voids the quorum. A restarted peer no longer has its vote in memory. It waits for the longest
+duration of a vote, unless all its peers report that they do not lead.
+
+If the leader's lease expired before it had all votes, a peer may have been elected in the
+meantime. A node elected with a newer fencing token refuses to vote for an older one for as
+long as its process runs. So if every peer grants a vote, each from the same process that
+answered the leader while it was still entitled, no node was elected in between and the
+leader continues. Without this rule, a store that refused the leader for 1.5 s and then
+refused every node left no node entitled for the whole outage, and all tasks on all machines
+ended when the workers' leases expired.
+
+A vote is granted to a process, not to a node. A process binds its port before it does
+anything else, so once a later process of a node has answered, the earlier one has ended.
+The vote granted to the earlier process is then void, and a request from it that the network
+delayed is refused.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 from dataclasses import dataclass
 
 CLOCK_DRIFT_RATIO = 1.002
-"""Ratio by which two nodes' clocks may differ in speed."""
+"""Largest ratio between the rates of two nodes' clocks."""
 SAFETY_MARGIN_S = 0.05
-"""Taken off each bound, for the time that passes between a check and what it allows."""
+"""Subtracted from each bound: time passes between a check and the action that it allows."""
 ENDED_PROCESSES_KEPT = 64
-"""Requests of processes that ended before so many others are too old to arrive."""
+"""Number of ended processes whose requests are refused; requests of older ones no longer arrive."""
 
 
 @dataclass(slots=True)
@@ -48,7 +49,7 @@
 
 
 class LeaderLease:
-    """The leader's lease and the lease votes of one shard, seen from one node."""
+    """The leader lease and the lease votes of one shard, as one node records them."""
 
     def __init__(self, peers: list[str], vote_duration_s: float, now: float) -> None:
         """Grant no candidacy until lease votes granted before ``now`` have expired.
@@ -58,7 +59,7 @@
         self._lock = threading.Lock()
         self._peers = peers
         self._vote_duration_s = vote_duration_s
-        # A vote granted before a restart holds until then.
+        # A vote granted by an earlier process of this node may be valid until this time.
         self._startup_hold_until = (
             now + vote_duration_s * CLOCK_DRIFT_RATIO + SAFETY_MARGIN_S if peers else now
         )
@@ -69,27 +70,27 @@
         self._candidacy_unresolved = False
         self._lease_until = 0.0
         self._votes_until: dict[str, float] = {}
-        # By peer: the process that was heard last while this node was entitled.
+        # By peer: id of the process that last answered while this node was entitled.
         self._peer_processes: dict[str, str] = {}
         self._quorum_until = 0.0
         self.is_leader = False
         self.fencing_token = 0
-        """Of the term that this node leads, or led last."""
+        """Fencing token of the current term of this node, or of its last one."""
         self.highest_seen_token = 0
-        """Of any term that this node won or voted for."""
+        """Highest fencing token of the terms that this node won or voted for."""
 
-    # -- what this node may do ------------------------------------------------
+    # -- permissions of this node ------------------------------------------------
 
     def may_write(self, now: float) -> bool:
-        """Return whether this node's lease in the key-value store certainly holds."""
+        """Return whether this node leads and its lease in the store is certainly valid."""
         return self.is_leader and now < self._lease_until
 
     def may_answer(self, now: float) -> bool:
-        """Return whether no other node can lead: by the lease, or by a quorum of votes."""
+        """Return whether this node's lease or a quorum of votes rules out any other leader."""
         return self.is_leader and (now < self._lease_until or now < self._quorum_until)
 
     def valid_for_s(self, now: float) -> float:
-        """Return for how many seconds this node may certainly still answer; 0: it may not."""
+        """Return for how many more seconds this node may answer; 0 if it may not answer."""
         if not self.is_leader:
             return 0.0
         return max(0.0, self._lease_until - now, self._quorum_until - now)
@@ -97,16 +98,16 @@
     # -- candidacy and term -----------------------------------------------------
 
     def record_peer_not_leading(self, peer: str) -> None:
-        """Record that a peer said, after this node's start, that it does not lead."""
+        """Record that a peer reported, after this process started, that it does not lead."""
         with self._lock:
             self._peers_not_leading.add(peer)
 
     def startup_hold_expired(self, now: float) -> bool:
-        """Return whether no vote that an earlier process granted can bind this node."""
+        """Return whether no vote granted by an earlier process of this node can still be valid."""
         return now >= self._startup_hold_until or self._peers_not_leading.issuperset(self._peers)
 
     def begin_candidacy(self, now: float) -> bool:
-        """Become a candidate, unless this node leads or a vote of it binds it."""
+        """Become a candidate; return False if this node leads or has granted a valid vote."""
         with self._lock:
             bound = self._granted_vote is not None and now < self._granted_vote.until
             if self.is_leader or bound or not self.startup_hold_expired(now):
@@ -115,17 +116,17 @@
             return True
 
     def end_candidacy(self, resolved: bool) -> None:
-        """``resolved``: no transaction of this node can elect it any more."""
+        """End the candidacy; ``resolved``: no pending transaction can still elect this node."""
         with self._lock:
             self._is_candidate = False
             self._candidacy_unresolved = not resolved
 
     def is_candidacy_unresolved(self) -> bool:
-        """Return whether a transaction without an answer may yet elect this node."""
+        """Return whether a transaction without a response may still elect this node."""
         return self._candidacy_unresolved
 
     def begin_term(self, fencing_token: int, lease_requested_at: float, ttl_s: float) -> None:
-        """Begin a term; the lease of ``ttl_s`` runs from when it was requested."""
+        """Begin a term; its lease is valid for ``ttl_s`` seconds from ``lease_requested_at``."""
         with self._lock:
             self._is_candidate = self._candidacy_unresolved = False
             self.is_leader = True
@@ -136,14 +137,14 @@
             self._lease_until = lease_requested_at + ttl_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
 
     def record_renewal(self, sent_at: float, ttl_s: float) -> None:
-        """Extend the lease from when its renewal was sent."""
+        """Extend the lease to ``ttl_s`` seconds after its renewal request was sent."""
         with self._lock:
             self._lease_until = max(
                 self._lease_until, sent_at + ttl_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
             )
 
     def end_term(self) -> None:
-        """End the term."""
+        """End this node's term: it neither leads nor counts votes any more."""
         with self._lock:
             self.is_leader = False
             self._lease_until = self._quorum_until = 0.0
@@ -152,7 +153,7 @@
     # -- votes of the peers, while this node leads ------------------------------
 
     def record_peer_process(self, peer: str, process_id: str, now: float) -> None:
-        """Record which process of a peer answered, if this node is entitled at ``now``."""
+        """Record the id of the process that answered for a peer, if this node is entitled."""
         with self._lock:
             if process_id and self.may_answer(now):
                 self._peer_processes[peer] = process_id
@@ -160,13 +161,13 @@
     def record_vote(self, peer: str, sent_at: float, now: float, process_id: str = "") -> None:
         """Count a vote that a peer's process granted to a request sent at ``sent_at``.
 
-        The peer counts the vote's time from when it got the request, which is later.
+        The peer measures the vote's duration from receipt of the request, which is later.
         """
         with self._lock:
             same_process = bool(process_id) and self._peer_processes.get(peer) == process_id
             if not self.is_leader or not (same_process or self.may_answer(now)):
-                # This node's time had run out, and an earlier process of that peer may have
-                # been elected since.
+                # This node's lease and votes had expired, and an earlier process of that peer
+                # may have been elected since.
                 return
             self._votes_until[peer] = (
                 sent_at + self._vote_duration_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
@@ -175,7 +176,7 @@
                 self._quorum_until = min(self._votes_until.values())
 
     def release_votes(self) -> None:
-        """Stop counting on votes, so that the peers may be told that they are free."""
+        """Discard the votes of all peers, before the peers are released from them."""
         with self._lock:
             self._votes_until.clear()
             self._quorum_until = 0.0
@@ -183,9 +184,9 @@
     # -- the vote that this node grants ------------------------------------------
 
     def record_process_ended(self, process_id: str) -> None:
-        """Void the vote granted to a process, since a later one of its node has answered."""
+        """Void the vote granted to a process that ended, and refuse its delayed requests."""
         if not process_id:
-            # Nodes of an older version do not say which process they are.
+            # Nodes of an older version send no process id.
             return
         with self._lock:
             self._ended_processes.append(process_id)
@@ -201,9 +202,9 @@
         now: float,
         process_id: str = "",
     ) -> bool:
-        """Promise a leader not to stand for ``duration_s``; return False if that is refused.
+        """Grant a leader a vote: no candidacy for ``duration_s``; return False if refused.
 
-        A duration of 0 releases the vote. ``seq`` counts up within a fencing token.
+        A duration of 0 releases the vote. ``seq`` increases with each request of a term.
         """
         with self._lock:
             if (
@@ -217,12 +218,12 @@
             granted = self._granted_vote
             if granted is not None:
                 if (fencing_token, seq) <= (granted.fencing_token, granted.seq):
-                    # Delivered late: it must not undo a newer request.
+                    # A delayed request must not override a newer one.
                     return False
                 if granted.leader != leader and now < granted.until:
                     return False
-            # The vote outlasts the leader's count of it, and is never longer than a restart
-            # of this node would wait out.
+            # The vote expires later here than at the leader, but never later than the end of
+            # the startup hold if this node restarts.
             until = (
                 now + min(duration_s, self._vote_duration_s) * CLOCK_DRIFT_RATIO
                 if duration_s > 0
--- a/appleshift/leader_election/leader_term.py
+++ b/appleshift/leader_election/leader_term.py
@@ -7,41 +7,41 @@
 from appleshift.protocol import kv
 
 LEADER_KEY = "leader"
-"""Holder key of the first shard. Whoever holds it is the leader of the cluster."""
+"""Leader key of the first shard; the node that it names leads the cluster."""
 FENCING_TOKEN_KEY = "token"
 """Holds the highest fencing token that any election of any shard has used."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderTerm:
-    """An election won."""
+    """A term of a shard's leader, from its election until it loses leadership."""
 
     fencing_token: int
     leader_key_version: int
-    """Version of the holder key; every write of the term is guarded by it."""
+    """Version of the leader key; every write of the term is guarded by it."""
     term_id: str
-    """Unique to this term; marks its writes."""
+    """Unique to this term; identifies its writes in the key-value store."""
     shard: int = 0
     extra_guards: tuple[tuple[str, int], ...] = ()
-    """Further keys, with their versions, that must be unchanged for the term to be valid."""
+    """More keys and versions that guard each write: the term is void once one changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """The value of a holder key."""
+    """The value of a leader key."""
 
     node_name: str
-    """Node that holds the shard; empty if the value is unreadable."""
+    """Node that leads the shard; empty if the value is unreadable."""
     fencing_token: int
 
     @classmethod
     def from_item(cls, item: kv.Item) -> LeaderRecord:
-        """Read the value of a holder key, tolerating one that this version can't read."""
+        """Decode a leader key; an unreadable value gives an empty name or token 0."""
         value = item.value if isinstance(item.value, dict) else {}
         token = value.get("token")
         return cls(str(value.get("name", "")), token if isinstance(token, int) else 0)
 
 
 def leader_key(shard: int) -> str:
-    """Return the key whose owner holds ``shard``."""
+    """Return the key in the key-value store that names the leader of ``shard``."""
     return f"share/{shard:04d}/holder" if shard else LEADER_KEY
--- a/appleshift/leader_election/relay_tracker.py
+++ b/appleshift/leader_election/relay_tracker.py
@@ -13,12 +13,12 @@
 class RelayTracker:
     """Relays as their own statuses say; only the leader of the first shard uses any."""
 
-    def __init__(self, dependencies: ElectionDependencies, leaders: LeaderTracker) -> None:
-        """Start without relays. ``leaders`` tells which node they relay to."""
+    def __init__(self, dependencies: ElectionDependencies, leader_tracker: LeaderTracker) -> None:
+        """Start without relays. ``leader_tracker`` tells which node they relay to."""
         self._name = dependencies.node_name
         self._lease = dependencies.lease
         self._now = dependencies.runtime.now
-        self._leaders = leaders
+        self._leader_tracker = leader_tracker
         self.relayed_fraction = 0.0
         """While this node leads: the fraction of the machines that it sends to relays."""
         self._relay_seen_at: dict[str, float] = {}
@@ -41,20 +41,20 @@
     def relays(self) -> list[str]:
         """Return the nodes known to relay heartbeats to the leader, without the leader."""
         now = self._now()
-        leader = self._leaders.current_leader()
+        leader = self._leader_tracker.current_leader()
         names = [
             name
             for name, seen_at in list(self._relay_seen_at.items())
             if now - seen_at < PEER_STATUS_VALID_S and name != leader
         ]
-        if self._leaders.can_relay():
+        if self._leader_tracker.can_relay():
             names.append(self._name)
         return sorted(names)
 
     def current_relayed_fraction(self) -> float:
         """Return the fraction of the machines that the leader sends to relays."""
         # Asked with every heartbeat: the cheaper question comes first.
-        if self._lease.is_leader or self._leaders.current_leader() == self._name:
+        if self._lease.is_leader or self._leader_tracker.current_leader() == self._name:
             return self.relayed_fraction
         return self.recent_relayed_fraction()
 
