--- a/appleshift/leader_election/__init__.py
+++ b/appleshift/leader_election/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election: candidacy, the leader's lease, votes of the peers, and durable commits."""
+"""Leader election: candidacies, the leader lease, lease votes of peers, and log commits."""
--- a/appleshift/leader_election/log_committer.py
+++ b/appleshift/leader_election/log_committer.py
@@ -1,4 +1,4 @@
-"""Sends the write-ahead log's transactions until their outcome is known."""
+"""Commits write-ahead log transactions, each retried until its outcome is known."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class LogCommitter:
-    """One routine for a shard; it has at most one transaction under way."""
+    """Commits a shard's transactions one after the other, in a thread of its own."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         runtime: Runtime,
         thread_name: str = "commit",
     ) -> None:
-        """Post the outcomes with ``post``; give up once ``current_term`` is another one."""
+        """Post outcomes with ``post``; give up once ``current_term`` returns another term."""
         self._thread_name = thread_name
         self._store = store
         self._post = post
@@ -49,16 +49,16 @@
         self._stop = runtime.event()
 
     def start(self) -> None:
-        """Start the routine."""
+        """Start the thread."""
         self._runtime.spawn(self._thread_name, self._run)
 
     def stop(self) -> None:
-        """End the routine; what is not committed by then stays undecided."""
+        """Stop the thread; the outcome of transactions not yet committed stays unknown."""
         self._stop.set()
         self._queue.put(None)
 
     def enqueue(self, transaction: Transaction, term: LeaderTerm) -> None:
-        """Commit a transaction of ``term``; the outcome comes back as an event."""
+        """Queue a transaction of ``term`` for commit; its outcome is posted as an event."""
         self._queue.put(_PendingCommit(transaction, term))
 
     def _run(self) -> None:
@@ -69,7 +69,7 @@
             self._commit(pending.transaction, pending.term)
 
     def _commit(self, transaction: Transaction, term: LeaderTerm) -> None:
-        """Send a transaction until its outcome is known: its guards let it apply only once."""
+        """Retry a transaction until its outcome is known; its guards let it apply only once."""
         while not self._stop.is_set() and self._current_term() is term:
             try:
                 revision = self._store.compare_and_swap(transaction.guards, transaction.changes)
@@ -95,9 +95,9 @@
         self._post(events.Fenced(term))
 
     def _already_applied(self, transaction: Transaction, term: LeaderTerm) -> bool:
-        """Find out whether an earlier copy of the transaction was applied.
+        """Return whether an earlier attempt to commit the transaction was applied.
 
-        If so, its success is posted. A term that ends meanwhile leaves it undecided.
+        If so, post its success. Return False, with unknown outcome, if the term ends first.
         """
         while not self._stop.is_set() and self._current_term() is term:
             try:
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -1,7 +1,7 @@
-"""Asks each peer for its status, a few times in two seconds.
+"""Polls the status of each peer, a few times in two seconds.
 
-After a start the answers say whether a lease vote granted before it may still bind;
-later they say where to send users and workers, and which peers are reachable at all.
+After a start the statuses show whether a lease vote granted before it may still be valid.
+Later they show the leader, the relays and the reachable peers.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 
 STATUS_INTERVAL_S = 0.6
 STARTUP_STATUS_INTERVAL_S = 0.3
-"""Until no vote granted before this process's start can bind it any more."""
+"""Interval in use until no vote granted by an earlier process can still be valid."""
 STATUS_TIMEOUT_S = 0.5
 
 
 class PeerStatusListener(Protocol):
-    """Is told what peers answer; see ``appleshift.connectivity``."""
+    """Receives the statuses of peers; ``appleshift.connectivity`` implements it."""
 
     def peer_status_received(self, peer: str, status: peers.PeerStatus, now: float) -> None:
-        """Take a peer's status, received at ``now``."""
+        """Process a peer's status, received at ``now``."""
         ...
 
     def peer_restarted(self, peer: str) -> None:
-        """Drop what the peer's earlier process said."""
+        """Discard the statuses of the peer's earlier process."""
         ...
 
 
 class PeerMonitor:
-    """One routine for each peer."""
+    """Polls peers in one thread per peer."""
 
     def __init__(
         self,
@@ -46,27 +46,27 @@
         runtime: Runtime,
         connectivity: PeerStatusListener,
     ) -> None:
-        """Report to ``connectivity`` and to all elections that there are by then."""
+        """Pass each status to ``connectivity`` and to all elections that exist at that time."""
         self._connectivity = connectivity
         self._peer_clients = peer_clients
         self._elections = elections
         self._runtime = runtime
         self._stop = runtime.event()
         self.last_statuses: dict[str, tuple[float, peers.PeerStatus]] = {}
-        """By peer: when it last answered, and what."""
+        """By peer: time and content of its last status."""
         self.reachable_since: dict[str, float] = {}
-        """By peer: since when it has answered without an interruption."""
+        """By peer: start of the current uninterrupted series of responses."""
         self._process_ids: dict[str, str] = {}
         self.newest_shard_map_version = 0
-        """The newest shard map that a peer uses; 0: none does."""
+        """Newest shard map version that a peer uses; 0: no peer uses a shard map."""
 
     def start(self) -> None:
-        """Start the routines."""
+        """Start the threads."""
         for peer in self._peer_clients:
             self._runtime.spawn(f"peer-status-{peer}", self._poll_peer, peer)
 
     def stop(self) -> None:
-        """End the routines."""
+        """Stop the threads."""
         self._stop.set()
 
     def _poll_peer(self, peer: str) -> None:
@@ -96,7 +96,7 @@
         previous_process_id = self._process_ids.get(peer, status.process_id)
         self._process_ids[peer] = status.process_id
         if previous_process_id != status.process_id:
-            # It may have ended and come back between two of our requests.
+            # The peer can restart between two requests without a failed request.
             log.info("peer restarted peer=%s process=%s", peer, status.process_id)
             self.reachable_since[peer] = now
             self._connectivity.peer_restarted(peer)
--- a/appleshift/leader_election/vote_collector.py
+++ b/appleshift/leader_election/vote_collector.py
@@ -1,4 +1,4 @@
-"""Asks the peers for lease votes while the leader cannot renew its lease."""
+"""Requests lease votes from the peers while the leader cannot renew its lease."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 VOTE_INTERVAL_S = 0.5
 VOTE_TIMEOUT_S = 1.0
 IDLE_CHECK_INTERVAL_S = 10.0
-"""While the lease is renewed, a routine wakes this often to see whether it is to end."""
+"""While the lease is renewed, each thread checks at this interval whether to stop."""
 
 
 class VoteCollector:
-    """One routine for each peer."""
+    """Collects lease votes for the leader in one thread per peer."""
 
     def __init__(
         self, dependencies: ElectionDependencies, renewal_failing: Event, stop: Event
     ) -> None:
-        """Collect votes while ``renewal_failing`` is set, until ``stop`` is."""
+        """Collect votes while ``renewal_failing`` is set; end once ``stop`` is set."""
         self._dependencies = dependencies
         self._lease = dependencies.lease
         self._now = dependencies.runtime.now
@@ -32,7 +32,7 @@
         self._stop = stop
 
     def start(self) -> None:
-        """Start a routine for each peer."""
+        """Start a thread for each peer."""
         for peer in self._dependencies.peer_clients:
             name = self._dependencies.thread_name(f"lease-votes-{peer}")
             self._dependencies.runtime.spawn(name, self._collect_votes, peer)
@@ -53,15 +53,15 @@
                     self._lease.record_vote(peer, sent_at, self._now(), voter)
                 self._stop.wait(VOTE_INTERVAL_S)
             if vote_granted:
-                # Stop counting on the vote before the peer is told that it is free.
+                # Discard the votes before the peer is released from its vote.
                 self._lease.release_votes()
                 seq += 1
                 self._request_vote(client, seq, 0.0)
 
     def _request_vote(self, client: HttpCaller, seq: int, duration_s: float) -> str | None:
-        """Ask a peer not to stand for ``duration_s``; 0 releases it.
+        """Request a vote from a peer for ``duration_s`` seconds; 0 releases its vote.
 
-        Returns the id of the process that granted the vote, None if none did.
+        Returns the id of the process that granted the vote; None if it was not granted.
         """
         dependencies = self._dependencies
         request = peers.LeaseVoteRequest(
--- a/appleshift/node_context.py
+++ b/appleshift/node_context.py
@@ -1,4 +1,4 @@
-"""What all shards of a node share: its settings, its connections and its outgoing calls."""
+"""Settings, clients and outgoing calls that all shards of a node share."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 
 
 class ShardCoordination(Protocol):
-    """The shard map, and calls between the holders of shards; see ``appleshift.sharding``."""
+    """The shard map and calls between leaders of shards; see ``appleshift.sharding``."""
 
     def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> ShardingView | None:
-        """Return what a shard's new scheduler has to do with the others; None with one shard.
+        """Return a new scheduler's view of the other shards; None if there is one shard.
 
-        Raises StoreError, ClientError or ProtocolError if it is to be asked again, and
+        Raises StoreError, ClientError or ProtocolError if the call should be retried, and
         CompareFailedError if the term is over.
         """
         ...
 
     def call_shard(self, action: CallShard, term: Any) -> None:
-        """Send a message to the holder of another shard; its reply comes back as an event."""
+        """Send a message to the leader of another shard; its reply is posted as an event."""
         ...
 
 
 @dataclass
 class NodeContext:
-    """Set up by the node; one for all its shards."""
+    """Created by the node, once for all its shards."""
 
     settings: Settings
     operator: OperatorSettings
@@ -50,15 +50,15 @@
     peer_clients: dict[str, HttpCaller]
     connect: Callable[[tuple[str, int]], HttpCaller]
     post: Callable[[events.Event], None]
-    """Hands an event to the schedulers' routine."""
+    """Queues an event for the schedulers' thread."""
     process_id: str
-    """Tells this process from earlier and later ones of the same node."""
+    """Distinguishes this process from earlier and later processes of the same node."""
     worker_calls: WorkerCalls
     cloud_calls: CloudCalls
     stop: Event
     shard_map_follower: ShardCoordination | None = None
-    """Set once there is a shard map, or the operators want more than one shard."""
+    """Set once there is a shard map, or if the settings ask for more than one shard."""
     candidacy_delay_s: Callable[[], float] = float
-    """For how many seconds this node leaves a free key to peers that reach more."""
+    """Returns the seconds for which peers that reach more workers may be elected first."""
     license_server_calls: LicenseServerCalls | None = None
-    """Made when the first licence server is to be asked."""
+    """Created before the first call to a license server."""
--- a/appleshift/shard_event_handlers.py
+++ b/appleshift/shard_event_handlers.py
@@ -1,4 +1,4 @@
-"""What a shard's scheduler does with each kind of request and of term event."""
+"""Dispatches requests and term events to the methods of a shard's scheduler."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def handle_request(
     scheduler: Scheduler, request: events.ApiRequest, wall_time: Callable[[], float]
 ) -> None:
-    """Answer a request, now or once what it changes is durable."""
+    """Answer a request, at once or after its changes are durable."""
     match request:
         case events.HeartbeatReceived():
             scheduler.heartbeat_received(request.heartbeat, request.reply_to, request.tasks)
@@ -48,7 +48,7 @@
 
 
 def handle_term_event(scheduler: Scheduler, event: events.TermEvent) -> None:
-    """Hand an event of the scheduler's own term to what it is about."""
+    """Dispatch an event of the scheduler's own term; other event types are ignored."""
     handler = _TERM_EVENT_HANDLERS.get(type(event))
     if handler is not None:
         handler(scheduler, event)
@@ -119,7 +119,7 @@
 def _counted_resources_reply(
     resources: CountedResources | None, after: int | None, now: float
 ) -> tuple[int, dict[str, Any]]:
-    """Counted resources as operators see them or, with a number, the audit log after it."""
+    """Return current counts if ``after`` is None, else audit entries after that number."""
     if resources is None:
         return 404, users.error_body("no counted resources are defined")
     return 200, resources.view(now) if after is None else resources.history(after)
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -1,4 +1,4 @@
-"""One shard at one node: its election and, while the node holds it, its scheduler."""
+"""One shard on one node: its election and, while this node leads it, its scheduler."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 log = logging.getLogger(__name__)
 
 DRAIN_TIMEOUT_S = 0.5
-"""For so long a hand-over waits until accepted requests are durable."""
+"""Longest time that a hand-over waits until accepted requests are durable."""
 NOT_HELD_RETRY_AFTER_S = 1
 
 
 class ShardReplica:
-    """Used by the schedulers' routine, but for ``election``, ``lease`` and ``committer``."""
+    """Belongs to the schedulers' thread, except ``election``, ``lease`` and ``committer``."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         extra_guards: Callable[[], tuple[tuple[str, int], ...] | None] = tuple,
         candidacy_delay_s: Callable[[], float] = float,
     ) -> None:
-        """See ``CandidacyConditions`` for the callables, which shards but the first use."""
+        """See ``CandidacyConditions`` for the callables; the first shard does not use them."""
         self.context = context
         self.shard = shard
         runtime, operator = context.runtime, context.operator
@@ -69,8 +69,8 @@
             on_leadership_lost=lambda: context.post(events.LeadershipLost(shard)),
             conditions=CandidacyConditions(
                 extra_guards,
-                # The leader assigns the further shards to nodes. The node sets the delay
-                # of the first only after it has made this replica.
+                # The leader assigns all shards but the first to nodes. The node sets the
+                # delay for the first shard only after it has created this replica.
                 candidacy_delay_s if shard else lambda: context.candidacy_delay_s(),
             ),
         )
@@ -87,19 +87,19 @@
         self._draining_since: float | None = None
 
     def start(self) -> None:
-        """Start the routines of the election and of the log's commits."""
+        """Start the threads of the election and of the log committer."""
         self.committer.start()
         self.election.start()
 
     def stop(self) -> None:
-        """Give up the shard at once, and end the routines."""
+        """Give up leadership of the shard at once, and stop the threads."""
         self.election.stop()
         self.committer.stop()
 
     # -- events ---------------------------------------------------------------------
 
     def handle(self, event: events.Event) -> None:
-        """Handle an event that is for this shard, or for all."""
+        """Handle an event for this shard or for all shards."""
         match event:
             case events.HandOverRequested():
                 self.start_hand_over()
@@ -124,7 +124,7 @@
     def _handle_term_event(self, event: events.TermEvent) -> None:
         scheduler = self.scheduler
         if event.term is not self.term or scheduler is None:
-            # Events of an earlier term are void.
+            # Events of earlier terms are ignored.
             return
         scheduler.now = self.context.runtime.now()
         if isinstance(event, events.Fenced):
@@ -136,13 +136,13 @@
     # -- rounds of the scheduler ----------------------------------------------------
 
     def has_pending_work(self) -> bool:
-        """Return whether the next round has work that need not wait for an event."""
+        """Return whether there is work for the next round even without an event."""
         return self.scheduler is not None and (
             self.scheduler.placement_needed or self.scheduler.write_ahead_log.backlog() > 0
         )
 
     def run_round(self) -> None:
-        """Let the scheduler decide, commit what it records and carry out its actions."""
+        """Run a scheduler step, commit the records that it appended and execute its actions."""
         scheduler, runtime = self.scheduler, self.context.runtime
         if scheduler is None:
             return
@@ -166,21 +166,21 @@
             self.election.hand_over()
 
     def start_hand_over(self) -> None:
-        """Begin to leave the shard: accepted requests become durable, no more are accepted."""
+        """Start a hand-over: accept no more requests, and wait for accepted ones to be durable."""
         if self.scheduler is not None and not self.scheduler.draining:
             log.info("handing over shard=%d", self.shard)
             self.scheduler.draining = True
             self._draining_since = self.context.runtime.now()
 
     def _entitlement_check(self, term: LeaderTerm | None) -> Callable[[], bool]:
-        """Return what is asked again right before a call that changes something outside."""
+        """Return a check to repeat right before an external call that has side effects."""
         return lambda: self.term is term and self.lease.may_answer(self.context.runtime.now())
 
     def _call_license_servers(self, resources: CountedResources, now: float) -> None:
         context = self.context
         for request in resources.reservation_requests(now):
             if context.license_server_calls is None:
-                # Loaded only where a licence server is to be asked.
+                # Imported only by nodes that call a license server.
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
                 context.license_server_calls = LicenseServerCalls(
@@ -210,7 +210,7 @@
     # -- terms ----------------------------------------------------------------------
 
     def _begin_term(self, term: LeaderTerm) -> None:
-        """Recover what is durable; only then is any request answered."""
+        """Recover the durable state and create the scheduler, which then answers requests."""
         began = self.context.runtime.now()
         try:
             recovered = recover_term(self.context, term, lambda: self._may_recover(term))
@@ -251,7 +251,7 @@
         )
 
     def end_term(self) -> None:
-        """Drop the scheduler; requests that wait for an answer get its last replies."""
+        """Discard the scheduler, and send its last replies to waiting requests."""
         scheduler = self.scheduler
         self.scheduler = self.achieved_objectives = None
         self.term = None
@@ -265,12 +265,12 @@
                 if isinstance(action, Reply):
                     self._execute(action)
 
-    # -- asked by the routines of connections ---------------------------------------
+    # -- called by the threads of connections ---------------------------------------
 
     def unchanged_response(self, heartbeat: HeartbeatHeader, now: float) -> bytes | None:
         """Return the response to a heartbeat that reports no change.
 
-        None if the scheduler must see the heartbeat, or this node may not answer it.
+        None if the scheduler must process the heartbeat, or this node may not answer it.
         """
         scheduler = self.scheduler
         if scheduler is None or not self.lease.may_answer(now):
@@ -278,25 +278,25 @@
         return scheduler.fast_path.response_to(heartbeat, now)
 
     def has_machine(self, machine: str) -> bool:
-        """Return whether a machine is in this shard, whatever its name says.
+        """Return whether a machine is in this shard, even if its name maps to another one.
 
-        Reads the scheduler's state from other routines: a wrong answer costs a moment.
+        Reads the scheduler's state from other threads: a wrong result only causes a delay.
         """
         scheduler = self.scheduler
         found = None if scheduler is None else scheduler.cluster.machine(machine)
         return found is not None and not found.in_other_shard
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """Return the latest state of a job that this node knows a user has been told."""
+        """Return a job's latest state reported to a user by this node; None if unknown."""
         scheduler = self.scheduler
         return None if scheduler is None else scheduler.job_requests.last_reported_state(job_id)
 
     def view(self) -> dict[str, Any]:
-        """Return what operators see of this shard, in the form of the API's answer."""
+        """Return the shard's state for operators, as a dict for the API's response."""
         scheduler = self.scheduler
         if scheduler is None:
             return {"held_here": False}
         machines = list(scheduler.cluster.machines.values())
-        own_machines = sum(1 for machine in machines if not machine.in_other_shard)
-        view = {"held_here": True, "jobs": len(scheduler.cluster.jobs), "machines": own_machines}
+        machine_count = sum(1 for machine in machines if not machine.in_other_shard)
+        view = {"held_here": True, "jobs": len(scheduler.cluster.jobs), "machines": machine_count}
         return view if scheduler.sharding is None else {**view, **scheduler.sharding.view()}
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -1,4 +1,4 @@
-"""The start of a term: reads a shard's durable state and builds its scheduler from it."""
+"""Starts a term: reads a shard's durable state and creates its scheduler from it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredTerm:
-    """What was durable when a term began."""
+    """Durable state of a shard, as recovered at the start of a term."""
 
     replayer: LogReplayer
     recovered_log: RecoveredLog
@@ -40,7 +40,7 @@
 def recover_term(
     context: NodeContext, term: LeaderTerm, is_current: Callable[[], bool]
 ) -> RecoveredTerm | None:
-    """Read what is durable, again and again until it succeeds; None once the term is over.
+    """Read a shard's durable state, with retries; return None once the term is over.
 
     Raises CompareFailedError if the shard map shows that the term is over.
     """
@@ -68,7 +68,7 @@
     recovered: RecoveredTerm,
     now: float,
 ) -> Scheduler:
-    """Build the scheduler of a term from what was recovered."""
+    """Create the scheduler of a term from the recovered state."""
     write_ahead_log = _resume_log(context, term, recovered, now)
     return Scheduler(
         SchedulerDependencies(
@@ -117,13 +117,13 @@
 def _counted_resources(
     context: NodeContext, term: LeaderTerm, replayer: LogReplayer, write_ahead_log: WriteAheadLog
 ) -> CountedResources | None:
-    """Counted resources, if the operators' file or the log defines any.
+    """Return the counted resources; None unless the operators' file or the log defines any.
 
-    All of them are counted in the first shard, which decides for the jobs that ask for any.
+    The first shard counts all of them, and schedules all jobs that request any.
     """
     if term.shard or (not context.operator.seats and not replayer.counted_resources):
         return None
-    # Loaded only where resources are counted.
+    # Imported only where resources are counted.
     from appleshift.counted_resources.scheduler_part import build
 
     return build(
@@ -136,8 +136,8 @@
 
 
 def _make_audit_log(written_entries: int) -> RecordFollower:
-    """Follow the audit of counted resources from where their records begin in the log."""
-    # Loaded only where resources are counted.
+    """Return a follower that builds the audit log from records of counted resources."""
+    # Imported only where resources are counted.
     from appleshift.counted_resources.audit_log import AuditLog
 
     return AuditLog(written_entries)
