--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -136,7 +136,10 @@
 
 
 def _make_audit_log(written_entries: int) -> RecordFollower:
-    """Return a follower that builds the audit log from records of counted resources."""
+    """Return the audit log, which follows the log from its first counted resource on.
+
+    ``written_entries`` is the number of entries that are already in durable pages.
+    """
     # Imported only where resources are counted.
     from appleshift.counted_resources.audit_log import AuditLog
 
