--- /dev/null
+++ b/tests/support/mixed_versions.py
@@ -0,0 +1,253 @@
+"""Runs nodes of two versions of the service side by side on loopback.
+
+A deployment of three real processes is started from one version until a snapshot of that
+version is in force. Then leaders are killed one after another, and each killed node starts
+again from a version that is drawn. Jobs are submitted all the time, and the key-value store
+fails for a few seconds in some rounds. The invariants are checked from outside.
+
+Started by hand; both paths are checkouts of the repository:
+
+    python -m tests.support.mixed_versions OLD_CHECKOUT NEW_CHECKOUT
+"""
+
+from __future__ import annotations
+
+import argparse
+import os
+import random
+import subprocess
+import sys
+import tempfile
+import threading
+import time
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.support.loopback_cluster import Loopback
+
+OLD, NEW = "old", "new"
+LEADER_CHANGES = 5
+SUBMITTERS = 3
+SNAPSHOT_TIMEOUT_S = 90.0
+ROUND_S = 120.0
+OPERATOR = "snapshot_kb: 16\n"
+SHARDED_OPERATOR = OPERATOR + "shares: 3\n"
+
+
+@dataclass
+class Round:
+    """What happened in one round."""
+
+    seed: int
+    shards: int
+    first_version: str
+    jobs: int = 0
+    leader_changes: Counter[str] = field(default_factory=Counter)
+    """By the versions of the killed leader and of the next one, such as ``old->new``."""
+    snapshots_recovered: Counter[str] = field(default_factory=Counter)
+    """By the versions that wrote the snapshot in force and that recovered from it."""
+    outages: int = 0
+    longest_without_leader_s: float = 0.0
+    broken: list[str] = field(default_factory=list)
+
+    def report(self) -> str:
+        return (
+            f"seed={self.seed} shards={self.shards} first={self.first_version} jobs={self.jobs}"
+            f" leader_changes={dict(self.leader_changes)}"
+            f" snapshots_recovered={dict(self.snapshots_recovered)} outages={self.outages}"
+            f" longest_without_leader_s={self.longest_without_leader_s:.2f}"
+            f" {'FAILED ' + '; '.join(self.broken) if self.broken else 'ok'}"
+        )
+
+
+class MixedCluster(Loopback):
+    """Three nodes, each of which runs one of two checkouts."""
+
+    def __init__(
+        self, folder: Path, checkouts: dict[str, Path], first_version: str, operator: str
+    ) -> None:
+        self.checkouts = checkouts
+        self.next_version = first_version
+        self.versions: dict[str, str] = {}
+        super().__init__(folder, operator=operator)
+
+    def launch(self, name: str) -> None:
+        """Start a node from the checkout of ``next_version``."""
+        self.versions[name] = self.next_version
+        self.processes[name] = subprocess.Popen(
+            [sys.executable, *self.program, "--config", str(self.config[name])],
+            cwd=self.checkouts[self.next_version],
+            env={**os.environ, "LOG_LEVEL": "error"},
+        )
+
+    def restart(self, name: str, version: str) -> None:
+        """Kill a node's process and start the node again from a version."""
+        self.processes[name].kill()
+        self.processes[name].wait()
+        self.next_version = version
+        self.launch(name)
+
+    def generation(self) -> int:
+        """Return the generation of the first shard's snapshot in force; 0: there is none."""
+        with self.clock.lock:
+            row = self.state.rows.get("meta")
+        return 0 if row is None else int(row[0]["generation"])
+
+
+class Submitters:
+    """Threads that submit small jobs one after another until they are stopped."""
+
+    def __init__(self, cluster: MixedCluster) -> None:
+        self.cluster = cluster
+        self.jobs: list[str] = []
+        self.failures: list[str] = []
+        self._stop = threading.Event()
+        self._threads = [
+            threading.Thread(target=self._submit_jobs, args=(number,), daemon=True)
+            for number in range(1, SUBMITTERS + 1)
+        ]
+        for thread in self._threads:
+            thread.start()
+
+    def _submit_jobs(self, thread_number: int) -> None:
+        job_number = thread_number * 1000
+        while not self._stop.is_set():
+            job_number += 1
+            try:
+                job = self.cluster.submit(job_number, pieces=4, vcpus=0.2, ram_gb=0.2)
+            except pytest.fail.Exception as error:
+                self.failures.append(str(error))
+                return
+            self.jobs.append(job)
+
+    def stop(self) -> None:
+        """Stop, and wait for the submissions that are under way."""
+        self._stop.set()
+        for thread in self._threads:
+            thread.join()
+
+
+def wait_until(condition: Callable[[], bool], timeout_s: float, what: str) -> None:
+    """Poll a condition; fail the round if it is not met in time."""
+    until = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() > until:
+            pytest.fail(f"not within {timeout_s:.0f} s: {what}")
+        time.sleep(0.05)
+
+
+def fail_store(cluster: MixedCluster, seconds: float) -> None:
+    """Let the key-value store refuse all requests for some seconds."""
+    with cluster.clock.lock:
+        cluster.state.out = True
+    time.sleep(seconds)
+    with cluster.clock.lock:
+        cluster.state.out = False
+
+
+def change_leader(cluster: MixedCluster, result: Round, rng: random.Random, writer: str) -> None:
+    """Kill the leader; its node starts again as a version that is drawn."""
+    victim = cluster.leader()
+    victim_version = cluster.versions[victim]
+    has_snapshot = cluster.generation() > 0
+    killed_at = time.monotonic()
+    cluster.restart(victim, rng.choice([OLD, NEW]))
+    leader = cluster.leader()
+    result.longest_without_leader_s = max(
+        result.longest_without_leader_s, time.monotonic() - killed_at
+    )
+    leader_version = cluster.versions[leader]
+    result.leader_changes[f"{victim_version}->{leader_version}"] += 1
+    if has_snapshot:
+        result.snapshots_recovered[f"{writer}->{leader_version}"] += 1
+
+
+def play_changes(cluster: MixedCluster, result: Round, rng: random.Random) -> None:
+    """Change leaders, with outages of the store in every second round."""
+    generation, writer = cluster.generation(), result.first_version
+    for number in range(LEADER_CHANGES):
+        if number == 1:
+            # A node that is killed before its turn comes back as the first version.
+            follower = next(name for name in cluster.names if name != cluster.leader())
+            cluster.restart(follower, result.first_version)
+        change_leader(cluster, result, rng, writer)
+        time.sleep(rng.uniform(1.0, 4.0))
+        if result.seed % 2 == 0 and number % 2 == 1:
+            fail_store(cluster, rng.uniform(1.5, 3.0))
+            result.outages += 1
+        if cluster.generation() != generation:
+            # Read before the next kill: the leader of now wrote it.
+            generation, writer = cluster.generation(), cluster.versions[cluster.leader()]
+
+
+def finish(cluster: MixedCluster, submitters: Submitters, service: str) -> None:
+    """Wait for all jobs, then cancel the service."""
+    submitters.stop()
+    for job in submitters.jobs:
+        cluster.ask(job, "poll", "done")
+        cluster.ask(job, "submit", "done")
+    cluster.ask(service, "poll", "running")
+    cluster.ask(service, "cancel", "aborted")
+
+
+def play(seed: int, shards: int, checkouts: dict[str, Path]) -> Round:
+    """Play one round; odd seeds start with the old version, even ones with the new."""
+    rng = random.Random(seed)
+    result = Round(seed, shards, OLD if seed % 2 else NEW)
+    operator = SHARDED_OPERATOR if shards > 1 else OPERATOR
+    with tempfile.TemporaryDirectory() as folder:
+        cluster = MixedCluster(Path(folder), checkouts, result.first_version, operator)
+        try:
+            service = cluster.submit(1, shape="daemon", pieces=2, vcpus=0.5)
+            submitters = Submitters(cluster)
+            wait_until(lambda: cluster.generation() > 0, SNAPSHOT_TIMEOUT_S, "a snapshot in force")
+            other = NEW if result.first_version == OLD else OLD
+            for name in cluster.names:
+                if name != cluster.leader():
+                    cluster.restart(name, other)
+                    cluster.answers(name)
+            play_changes(cluster, result, rng)
+            finish(cluster, submitters, service)
+            result.jobs = len(submitters.jobs)
+            result.broken += submitters.failures
+        except pytest.fail.Exception as error:
+            result.broken.append(str(error))
+        finally:
+            cluster.close()
+    result.broken += cluster.rules.broken
+    lost = [job for job, seen in cluster.rules.jobs.items() if seen.accepted and not seen.told]
+    result.broken += [f"{job} accepted, end never reported" for job in lost]
+    return result
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("old", type=Path, help="checkout of the old version")
+    parser.add_argument("new", type=Path, help="checkout of the new version")
+    parser.add_argument("--first-seed", type=int, default=1)
+    parser.add_argument("--rounds", type=int, default=6, help="rounds with one shard")
+    parser.add_argument("--sharded-rounds", type=int, default=4, help="rounds with three shards")
+    options = parser.parse_args()
+    checkouts = {OLD: options.old.resolve(), NEW: options.new.resolve()}
+    counts: dict[str, Counter[Any]] = {"changes": Counter(), "snapshots": Counter()}
+    failed = 0
+    shards = [1] * options.rounds + [3] * options.sharded_rounds
+    for seed, count in enumerate(shards, options.first_seed):
+        result = play(seed, count, checkouts)
+        print(result.report(), flush=True)
+        failed += bool(result.broken)
+        counts["changes"] += result.leader_changes
+        counts["snapshots"] += result.snapshots_recovered
+    summary = f"leader changes {dict(counts['changes'])}"
+    summary += f"; snapshots recovered {dict(counts['snapshots'])}"
+    print(f"{len(shards)} rounds, {failed} failed; {summary}")
+    return 1 if failed else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
