--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -81,12 +81,12 @@
         self._review.next_review = at
 
     @property
-    def list_seen(self) -> bool:
+    def listing_received(self) -> bool:
         """Whether the cloud's machines were listed in this term."""
         return self._review.listing_received
 
-    @list_seen.setter
-    def list_seen(self, received: bool) -> None:
+    @listing_received.setter
+    def listing_received(self, received: bool) -> None:
         self._review.listing_received = received
 
     # -- machine types and demand -------------------------------------------------------
@@ -208,7 +208,7 @@
 
     def machines_listed(self, rows: list[ListedMachine], complete: bool) -> None:
         """Reconcile the machines with a listing; see ``CloudInventory.reconcile``."""
-        self.list_seen = True
+        self.listing_received = True
         self._inventory.reconcile(rows, complete)
 
     def rental_answered(self, request: str, names: list[str] | None, refused: bool) -> None:
