--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -37,7 +37,7 @@
         self._started = scheduler.now
         self._heartbeats_lost_after_s = scheduler.settings.deployment.workers.lease_s / 2
 
-    def is_new_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
+    def record_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
         """Record a heartbeat; false if a copy of it, or a newer one, arrived before."""
         # Compared with its agent epoch: the answer to a probe may have shown a new epoch
         # before, in which sequence numbers restart. Heartbeats of the new epoch were once
@@ -52,7 +52,7 @@
             # Commands of an earlier leader reached the machines that it knew. A new machine
             # has to show first that they do.
             commands_arrive = machine.status == UP
-        self._record_heartbeat(machine, now, commands_arrive)
+        self._update_reachability(machine, now, commands_arrive)
         machine.last_heartbeat = position
         machine.heartbeats_lost = False
         if not commands_arrive and heartbeat.addr and not machine.probe_in_flight:
@@ -61,7 +61,7 @@
         return True
 
     @staticmethod
-    def _record_heartbeat(machine: Machine, at: float, commands_arrive: bool) -> None:
+    def _update_reachability(machine: Machine, at: float, commands_arrive: bool) -> None:
         machine.last_heartbeat_at = at
         if commands_arrive:
             machine.commands_lost_since = machine.heartbeats_since_unreachable = (
@@ -83,7 +83,7 @@
             # on the fast path were taken for expired, and eight tasks ran twice on one day.
             machine.lease_until = max(machine.lease_until, at + self._scheduler.worker_lease_s)
             if at > machine.last_heartbeat_at:
-                self._record_heartbeat(machine, at, commands_arrive)
+                self._update_reachability(machine, at, commands_arrive)
                 machine.last_heard = max(machine.last_heard, at)
             if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -30,7 +30,7 @@
             return
         token = scheduler.fencing_token_for(machine)
         scheduler.liveness.apply_fast_path(machine)
-        if not scheduler.liveness.is_new_heartbeat(machine, heartbeat):
+        if not scheduler.liveness.record_heartbeat(machine, heartbeat):
             # A copy, or the original after its copy. The lease that the answer may renew
             # was counted with the first one; whoever reads this learns what has to stop.
             stop_commands = scheduler.commands.stop_commands(machine)
