--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -73,7 +73,7 @@
             # Probes that it left unanswered while it was not heard say nothing of now.
             machine.commands_lost_since, machine.unanswered_probes = at, 0
 
-    def apply_fast_path(self, machine: Machine) -> None:
+    def apply_fast_path_entry(self, machine: Machine) -> None:
         """Take over what the fast path recorded of heartbeats without any change."""
         entry = machine.fast_path_entry
         if entry is not None:
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -29,7 +29,7 @@
         if machine is None:
             return
         token = scheduler.fencing_token_for(machine)
-        scheduler.liveness.apply_fast_path(machine)
+        scheduler.liveness.apply_fast_path_entry(machine)
         if not scheduler.liveness.record_heartbeat(machine, heartbeat):
             # A copy, or the original after its copy. The lease that the answer may renew
             # was counted with the first one; whoever reads this learns what has to stop.
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -44,7 +44,7 @@
     def _expire_leases(self) -> None:
         scheduler = self._scheduler
         for machine in list(scheduler.cluster.machines.values()):
-            scheduler.liveness.apply_fast_path(machine)
+            scheduler.liveness.apply_fast_path_entry(machine)
             expired = machine.runs and machine.lease_until < scheduler.now and machine.agent_epoch
             # Only a leader may judge: a node that was suspended for 23 s once expired
             # 600 leases in its first moment, though another one led by then.
