--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -62,7 +62,7 @@
         for machine in self._cluster.machines.values():
             machine.job_errors.pop(job.index, None)
 
-    def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
+    def task_completed(self, machine: Machine, job: Job, seconds: float) -> None:
         """Tell a slow machine from long tasks by the same job's tasks on other machines."""
         if job.completed_runs >= MIN_PEER_RUNS and not machine.quarantined:
             total_s = max(job.completed_run_s, 1e-3)
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -225,9 +225,9 @@
         """Count a failed task against its machine or its job."""
         self._faults.task_failed(machine, job)
 
-    def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
+    def task_completed(self, machine: Machine, job: Job, seconds: float) -> None:
         """Compare the duration of a completed task with those of the same job elsewhere."""
-        self._faults.task_ran(machine, job, seconds)
+        self._faults.task_completed(machine, job, seconds)
 
 
 def runs_replicas(machine: Machine) -> bool:
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -119,7 +119,7 @@
         if run.running_since:
             run_time = scheduler.now - run.running_since
             scheduler.cluster.record_run_time(run.job, run_time)
-            scheduler.fleet.health.task_ran(machine, run.job, run_time)
+            scheduler.fleet.health.task_completed(machine, run.job, run_time)
 
     def _run_failed(self, machine: Machine, run: TaskRun, reason: str) -> None:
         """Learn from an exit; one that was ordered says nothing about machine or job."""
