--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -202,7 +202,7 @@
         )
         return min(1.0, room_elsewhere / max(1, replicas))
 
-    def probed(self, name: str, answered: bool) -> None:
+    def probe_result(self, name: str, answered: bool) -> None:
         """Count the result of a probe."""
         machine = self._cluster.machine(name)
         if machine is not None:
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -249,7 +249,7 @@
 
     def probe_answered(self, name: str, heartbeat: Heartbeat | None) -> None:
         """Process the result of a probe; None: the worker did not answer."""
-        self.fleet.health.probed(name, heartbeat is not None)
+        self.fleet.health.probe_result(name, heartbeat is not None)
         machine = self.cluster.machine(name)
         if machine is None or heartbeat is None:
             return
