--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -215,9 +215,9 @@
         """Whether a zone's capacity counts; see ``UnreachableZones.is_trusted``."""
         return self._zones.is_trusted(zone)
 
-    def may_try_unreachable(self, zone: int) -> bool:
+    def may_rent_in_unreachable(self, zone: int) -> bool:
         """Whether one machine may be rented in an unreachable zone, to find out if it is back."""
-        return self._zones.may_try(zone)
+        return self._zones.may_rent_in(zone)
 
     # -- faulty and slow machines -------------------------------------------------------
 
--- a/appleshift/machines/rentals.py
+++ b/appleshift/machines/rentals.py
@@ -72,7 +72,7 @@
         """Whether a market has not refused lately and its machines could be heard."""
         if zone in self._health.unreachable_zones:
             pending = any(entry[1] == zone for entry in self.pending.values())
-            if pending or not self._health.may_try_unreachable(zone):
+            if pending or not self._health.may_rent_in_unreachable(zone):
                 return False
         retry_at, _ = self._backoffs.get((type_index, zone, spot), (0.0, 0.0))
         return retry_at <= self._scheduler.now
--- a/appleshift/machines/unreachable_zones.py
+++ b/appleshift/machines/unreachable_zones.py
@@ -64,7 +64,7 @@
         now = self._scheduler.now
         return now - self.since.get(zone, now) <= CONFIRMED_LOST_S
 
-    def may_try(self, zone: int) -> bool:
+    def may_rent_in(self, zone: int) -> bool:
         """Whether a single machine may be rented in an unreachable zone, to find out.
 
         If all machines of a zone were deleted or died, nothing can ever be heard of it
