--- a/appleshift/provisioning/shortages.py
+++ b/appleshift/provisioning/shortages.py
@@ -12,7 +12,7 @@
 from appleshift.state.states import BOOTING, OPEN, UP
 
 
-def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
+def capacity_need_for(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
     """What tasks that found no room need, and where it may be."""
     job, spec = shortage.job, shortage.job.spec
     remaining = remaining_per_zone(cluster, job)
@@ -38,7 +38,7 @@
         job = shortage.job
         if job.status != OPEN or (job.spec.gpus > 0) != pool.gpus:
             continue
-        need = need_of_shortage(cluster, shortage)
+        need = capacity_need_for(cluster, shortage)
         # Other tasks than replicas may wait for what is running to end.
         if job.service or not any(_may_use(need, *market) for market in markets_up):
             needs.append(need)
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -22,7 +22,7 @@
     UnmetNeed,
 )
 from appleshift.provisioning.pool import CapacityPool
-from appleshift.provisioning.shortages import need_of_shortage
+from appleshift.provisioning.shortages import capacity_need_for
 from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.state.cluster_state import ClusterState
@@ -44,7 +44,7 @@
     """What waits for room, the most urgent first."""
     cluster = scheduler.cluster
     some = scheduler.fleet.shortages[:NEEDS]
-    return [unmet_need(cluster, need_of_shortage(cluster, shortage)) for shortage in some]
+    return [unmet_need(cluster, capacity_need_for(cluster, shortage)) for shortage in some]
 
 
 class ShardReporter:
