--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -202,7 +202,7 @@
         )
         return min(1.0, room_elsewhere / max(1, replicas))
 
-    def probed(self, name: str, answered: bool) -> None:
+    def probe_result(self, name: str, answered: bool) -> None:
         """Count the result of a probe."""
         machine = self._cluster.machine(name)
         if machine is not None:
@@ -215,9 +215,9 @@
         """Whether a zone's capacity counts; see ``UnreachableZones.is_trusted``."""
         return self._zones.is_trusted(zone)
 
-    def may_try_unreachable(self, zone: int) -> bool:
+    def may_rent_in_unreachable(self, zone: int) -> bool:
         """Whether one machine may be rented in an unreachable zone, to find out if it is back."""
-        return self._zones.may_try(zone)
+        return self._zones.may_rent_in(zone)
 
     # -- faulty and slow machines -------------------------------------------------------
 
@@ -225,9 +225,9 @@
         """Count a failed task against its machine or its job."""
         self._faults.task_failed(machine, job)
 
-    def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
+    def task_completed(self, machine: Machine, job: Job, seconds: float) -> None:
         """Compare the duration of a completed task with those of the same job elsewhere."""
-        self._faults.task_ran(machine, job, seconds)
+        self._faults.task_completed(machine, job, seconds)
 
 
 def runs_replicas(machine: Machine) -> bool:
