--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -13,7 +13,7 @@
 
 from appleshift.contracts.actions import Action
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.placement.result import Shortage
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -51,7 +51,7 @@
 
 
 class Allocator:
-    """Implements ``placement.counted_resources.CountedResourcePass``."""
+    """Implements ``placement.counted_resource_interfaces.CountedResourcePass``."""
 
     def __init__(self, ledger: Ledger, now: float, starve_s: float) -> None:
         """For one placement pass; work that lacked units for ``starve_s`` seconds has units kept
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
 from appleshift.state.cluster_state import ClusterState
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.fair_share import PlacementTurn, placement_turns
 from appleshift.placement.gang_placement import GangPlacer
 from appleshift.placement.placement_pass import PlacementPass
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.eligible_machines import EligibleMachines
 from appleshift.placement.leftovers import GpuMachineLeftovers
 from appleshift.placement.preemption import Preemption
--- a/appleshift/placement/urgency.py
+++ b/appleshift/placement/urgency.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import RESERVE_ALWAYS_AFTER_S, Objectives
-from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.quota import within_guarantee
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job
--- a/appleshift/scheduler/dependencies.py
+++ b/appleshift/scheduler/dependencies.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
 from appleshift.storage.records import LogReplayer
--- a/appleshift/shard_event_handlers.py
+++ b/appleshift/shard_event_handlers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from appleshift.contracts import events
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol import users
 from appleshift.scheduler.scheduler import Scheduler
 
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -9,7 +9,7 @@
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
 from appleshift.leader_election.leader_term import LeaderTerm, holder_key
 from appleshift.node_context import NodeContext
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.wire import ProtocolError
 from appleshift.scheduler.dependencies import SchedulerDependencies
 from appleshift.scheduler.scheduler import Scheduler
