--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -22,7 +22,7 @@
 from appleshift.leader_election.leader_term import LeaderTerm
 from appleshift.leader_election.log_committer import LogCommitter
 from appleshift.node_context import NodeContext
-from appleshift.objectives.achieved import AchievedObjectives
+from appleshift.objectives.achieved_objectives import AchievedObjectives
 from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.workers import HeartbeatHeader
