--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -14,7 +14,7 @@
 from appleshift.contracts.interfaces import FleetView
 from appleshift.machines.fault_detection import FaultDetector
 from appleshift.machines.unreachable_zones import UnreachableZones
-from appleshift.placement.fit import remaining_per_zone
+from appleshift.placement.fit import spread_allowance_per_zone
 from appleshift.state.entities import Job, Machine
 from appleshift.state.states import EXITED, UP
 
@@ -191,7 +191,7 @@
         """The fraction of a job's replicas in a zone that may start in others."""
         if job.zone == zone:
             return 0.0
-        remaining = remaining_per_zone(self._cluster, job)
+        remaining = spread_allowance_per_zone(self._cluster, job)
         if remaining is None:
             return 1.0
         replicas = sum(run.machine.zone == zone for run in job.runs.values())
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -44,7 +44,7 @@
     return count
 
 
-def remaining_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
+def spread_allowance_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
     """How many more tasks of a spread job each zone may take; None: no limit."""
     spec = job.spec
     if not spec.spread:
--- a/appleshift/placement/gang_placement.py
+++ b/appleshift/placement/gang_placement.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import RESERVE_ALWAYS_AFTER_S
-from appleshift.placement.fit import remaining_per_zone
+from appleshift.placement.fit import spread_allowance_per_zone
 from appleshift.placement.gang_reservation import GangReservations
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.placement.replica_placement import free_tasks_that_fit
@@ -77,7 +77,7 @@
         self, job: Job, machines: list[Machine], tasks: int
     ) -> list[tuple[Machine, int]] | None:
         """How many tasks go to each machine; None if not all find room."""
-        per_zone = remaining_per_zone(self._pass.cluster, job)
+        per_zone = spread_allowance_per_zone(self._pass.cluster, job)
         plan: list[tuple[Machine, int]] = []
         for machine in machines:
             if not tasks:
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.fit import FailedNeeds, lost_work_s, remaining_per_zone
+from appleshift.placement.fit import FailedNeeds, lost_work_s, spread_allowance_per_zone
 from appleshift.placement.freeable_room import FreeableRoom, FreeableRooms
 from appleshift.placement.gang_preemption import GangPreemption, may_preempt
 from appleshift.placement.quota import borrowing_teams, guarantees_apply
@@ -121,7 +121,7 @@
         borrowers: set[int],
     ) -> tuple[int, list[TaskRun]]:
         """Make room machine by machine until it suffices for ``missing`` tasks."""
-        per_zone = remaining_per_zone(self._cluster, job)
+        per_zone = spread_allowance_per_zone(self._cluster, job)
         made = 0
         chosen: list[TaskRun] = []
         for machine in machines:
--- a/appleshift/placement/task_round.py
+++ b/appleshift/placement/task_round.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from appleshift.placement.fit import remaining_per_zone
+from appleshift.placement.fit import spread_allowance_per_zone
 from appleshift.placement.placement_pass import PlacementPass
 from appleshift.protocol.users import Submission
 from appleshift.state.entities import Job, Machine
@@ -26,7 +26,7 @@
     cluster = placement_pass.cluster
     spec = job.spec
     team = cluster.teams[job.team]
-    per_zone = remaining_per_zone(cluster, job)
+    per_zone = spread_allowance_per_zone(cluster, job)
     zone = _zone_in_use(job) if spec.together else -1
     attempt = job.last_attempt + 1
     if per_zone is not None:
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -10,7 +10,7 @@
 import logging
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.placement.fit import remaining_per_zone
+from appleshift.placement.fit import spread_allowance_per_zone
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.state.resources import EPSILON
 from appleshift.state.states import RUNNING, UP
@@ -125,7 +125,7 @@
             return False
         if job.spec.together and machine.zone != run.machine.zone:
             return False
-        remaining = remaining_per_zone(self._cluster, job)
+        remaining = spread_allowance_per_zone(self._cluster, job)
         same_zone = machine.zone == run.machine.zone
         return remaining is None or remaining[machine.zone] + same_zone > 0
 
--- a/appleshift/provisioning/shortages.py
+++ b/appleshift/provisioning/shortages.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from appleshift.contracts.interfaces import CapacityNeed
-from appleshift.placement.fit import remaining_per_zone, tasks_that_fit
+from appleshift.placement.fit import spread_allowance_per_zone, tasks_that_fit
 from appleshift.placement.result import Shortage
 from appleshift.provisioning.pool_view import PoolView
 from appleshift.state.cluster_state import ClusterState
@@ -15,7 +15,7 @@
 def need_of_shortage(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
     """What tasks that found no room need, and where it may be."""
     job, spec = shortage.job, shortage.job.spec
-    remaining = remaining_per_zone(cluster, job)
+    remaining = spread_allowance_per_zone(cluster, job)
     zones = [
         zone
         for zone in range(len(cluster.zones))
