--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -95,7 +95,7 @@
         )
 
 
-def may_run_beside_gpus(job: Job) -> bool:
+def may_share_gpu_machine(job: Job) -> bool:
     """Whether a job may use the CPUs that GPU work leaves on GPU machines.
 
     Only CPU work that ends and is bound to no place may: a replica would keep an
--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/leftovers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.fit import FailedNeeds, may_run_beside_gpus, tasks_that_fit
+from appleshift.placement.fit import FailedNeeds, may_share_gpu_machine, tasks_that_fit
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import EPSILON
@@ -27,7 +27,7 @@
         may use.
         """
         spec = job.spec
-        if not may_run_beside_gpus(job) or self._cluster.needs_per_gpu is None:
+        if not may_share_gpu_machine(job) or self._cluster.needs_per_gpu is None:
             return []
         if self._free is None:
             self._free = self._find()
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.placement.fit import may_run_beside_gpus
+from appleshift.placement.fit import may_share_gpu_machine
 from appleshift.protocol import cloud
 from appleshift.state.cluster_state import ClusterState
 
@@ -27,7 +27,7 @@
     if fleet.scheduler.sharding is not None or not cluster.spot_gpus_unclaimed():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
-    if not any(job.spec.spot and may_run_beside_gpus(job) for job in jobs):
+    if not any(job.spec.spot and may_share_gpu_machine(job) for job in jobs):
         return
     if not _is_exhausted_without_gpus(fleet):
         return
