--- a/appleshift/placement/replica_placement.py
+++ b/appleshift/placement/replica_placement.py
@@ -74,5 +74,5 @@
         ]
         made, victims = self._pass.preemption.make_room_on(job, machines, missing)
         self._pass.result.preempted += victims
-        self._pass.result.waiting_for_room += made
+        self._pass.result.replicas_waiting_for_preemption += made
         return made
--- a/appleshift/placement/result.py
+++ b/appleshift/placement/result.py
@@ -33,5 +33,5 @@
     shortages: list[Shortage] = field(default_factory=list)
     preempted: list[TaskRun] = field(default_factory=list)
     """Tasks to stop; each has its ``stop_grace_s`` set."""
-    waiting_for_room: int = 0
+    replicas_waiting_for_preemption: int = 0
     """Replicas for which room is being made on a machine with their image."""
--- a/appleshift/scheduler/placement_pass.py
+++ b/appleshift/scheduler/placement_pass.py
@@ -40,7 +40,9 @@
             self._preempt(run)
         scheduler.fleet.shortages = result.shortages
         # Tasks that wait for room that is being made are considered again soon.
-        scheduler.placement_needed = scheduler.placement_needed or result.waiting_for_room > 0
+        scheduler.placement_needed = (
+            scheduler.placement_needed or result.replicas_waiting_for_preemption > 0
+        )
 
     def _placer(self) -> FirstFitPlacer:
         scheduler = self._scheduler
