--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -100,7 +100,7 @@
 
     def job_arrived(self, spec: Submission, at: float) -> None:
         """Count a job as demand to scale out ahead for, if its class has an objective."""
-        accepted_wait_s = self.scheduler.objectives.wait_s(spec.job_class)
+        accepted_wait_s = self.scheduler.objectives.max_wait_s(spec.job_class)
         if accepted_wait_s is not None:
             counted = self.cluster.counted_resources
             tasks = spec.tasks if counted is None else counted.max_concurrent_tasks(spec)
--- a/appleshift/objectives/objectives.py
+++ b/appleshift/objectives/objectives.py
@@ -70,7 +70,7 @@
             return False
         return not any(name in by_class for by_class in limits)
 
-    def wait_s(self, job_class: str) -> float | None:
+    def max_wait_s(self, job_class: str) -> float | None:
         """How soon tasks of a class are to start, in seconds; None: no objective says."""
         return min(self._wait_limits.get(job_class, ()), default=None)
 
@@ -83,7 +83,7 @@
         """
         if job.service and job.last_attempt > 0:
             return 0.0
-        within = self.wait_s(job.spec.job_class)
+        within = self.max_wait_s(job.spec.job_class)
         if within is None:
             return 0.0
         return max(0.0, min(MAX_PATIENCE_S, PATIENCE_SHARE * within, within - STOP_START_S))
@@ -97,7 +97,7 @@
         """
         if age >= RESERVE_ALWAYS_AFTER_S:
             return True
-        within = self.wait_s(job.spec.job_class)
+        within = self.max_wait_s(job.spec.job_class)
         if within is None:
             return age >= RESERVE_AFTER_S
         return RESERVE_SHARE * within <= age < within
--- a/appleshift/placement/replica_placement.py
+++ b/appleshift/placement/replica_placement.py
@@ -50,7 +50,7 @@
 
     def _starts_in_time(self, job: Job, machine: Machine) -> bool:
         """Whether a replica would start there within the wait that its users accept."""
-        within_s = self._pass.objectives.wait_s(job.spec.job_class)
+        within_s = self._pass.objectives.max_wait_s(job.spec.job_class)
         if within_s is None or job.image in machine.images:
             return True
         speed = self._pass.cluster.types[machine.type].fetch_gb_per_s
