--- a/appleshift/objectives/objectives.py
+++ b/appleshift/objectives/objectives.py
@@ -9,9 +9,9 @@
 from appleshift.protocol.settings import Objective
 from appleshift.state.entities import Job
 
-PATIENCE_SHARE = 0.25
+PREEMPTION_DELAY_SHARE = 0.25
 """The part of the accepted wait that may pass before other tasks are stopped."""
-MAX_PATIENCE_S = 2.0
+MAX_PREEMPTION_DELAY_S = 2.0
 STOP_START_S = 1.5
 """Stopping one task and starting another in its place may take this long."""
 RESERVE_SHARE = 0.5
@@ -74,7 +74,7 @@
         """How soon tasks of a class are to start, in seconds; None: no objective says."""
         return min(self._wait_limits.get(job_class, ()), default=None)
 
-    def patience_s(self, job: Job) -> float:
+    def preemption_delay_s(self, job: Job) -> float:
         """How long new work waits for room that comes by itself, in seconds.
 
         Where many short tasks run, room for an urgent one falls free within
@@ -86,7 +86,9 @@
         within = self.max_wait_s(job.spec.job_class)
         if within is None:
             return 0.0
-        return max(0.0, min(MAX_PATIENCE_S, PATIENCE_SHARE * within, within - STOP_START_S))
+        return max(
+            0.0, min(MAX_PREEMPTION_DELAY_S, PREEMPTION_DELAY_SHARE * within, within - STOP_START_S)
+        )
 
     def should_reserve(self, job: Job, age: float) -> bool:
         """Whether a gang of an age in seconds that fits nowhere keeps machines that fall free.
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -68,5 +68,5 @@
         missing = self._gangs.place(job) if job.gang else self._tasks.place(job, turn.max_tasks)
         if missing and turn.max_tasks is None:
             shared.result.shortages.append(Shortage(job, missing))
-            if shared.preempt and shared.is_patience_over(job):
+            if shared.preempt and shared.preemption_delay_is_over(job):
                 shared.result.preempted += shared.preemption.victims(job, missing)
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -41,9 +41,9 @@
         self.turn_rank: int | None = None
         """The rank by which it is the present job's turn, if not its own."""
 
-    def is_patience_over(self, job: Job) -> bool:
+    def preemption_delay_is_over(self, job: Job) -> bool:
         """Whether a job has waited long enough for room that comes by itself."""
-        return self.urgency.age_s(job) >= self.objectives.patience_s(job)
+        return self.urgency.age_s(job) >= self.objectives.preemption_delay_s(job)
 
     def assign(self, job: Job, machine: Machine, attempt: int, tasks: list[int]) -> None:
         """Place tasks on a machine."""
@@ -67,7 +67,7 @@
             return pending
         allowed = self.counted_resources.max_tasks(job, pending)
         if allowed < pending:
-            urgent = self.preempt and self.is_patience_over(job)
+            urgent = self.preempt and self.preemption_delay_is_over(job)
             self.result.preempted += self.counted_resources.tasks_lacking(
                 job, pending - allowed, urgent
             )
