--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -13,8 +13,8 @@
 class EligibleMachines:
     """The usable machines of one placement pass."""
 
-    def __init__(self, cluster: ClusterState, now: float, heard_after: float) -> None:
-        """Collect the schedulable machines whose last heartbeat is not before ``heard_after``."""
+    def __init__(self, cluster: ClusterState, now: float, min_last_heartbeat: float) -> None:
+        """Collect the schedulable machines whose last heartbeat is not before ``min_last_heartbeat``."""
         self._cluster = cluster
         self._now = now
         self.pools: dict[tuple[int, int, bool], list[Machine]] = {}
@@ -24,7 +24,7 @@
         self.failed_needs = FailedNeeds()
         for machine in cluster.machines.values():
             if (
-                machine.last_heard >= heard_after
+                machine.last_heard >= min_last_heartbeat
                 and machine.avoid_until <= now
                 and machine.schedulable()
             ):
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -23,17 +23,17 @@
         cluster: ClusterState,
         now: float,
         wall: float,
-        heard_after: float,
+        min_last_heartbeat: float,
         objectives: Objectives | None = None,
         counted_resources: CountedResourcePass | None = None,
     ) -> None:
         """Prepare a pass at monotonic time ``now`` and wall time ``wall``, in seconds.
 
-        Only machines whose last heartbeat is not before ``heard_after`` (monotonic) get
+        Only machines whose last heartbeat is not before ``min_last_heartbeat`` (monotonic) get
         tasks. ``counted_resources`` is None where none are defined.
         """
         self.placement_pass = PlacementPass(
-            cluster, now, wall, heard_after, objectives or Objectives(), counted_resources
+            cluster, now, wall, min_last_heartbeat, objectives or Objectives(), counted_resources
         )
         self._tasks = TaskPlacer(self.placement_pass)
         self._gangs = GangPlacer(self.placement_pass)
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -21,7 +21,7 @@
         cluster: ClusterState,
         now: float,
         wall: float,
-        heard_after: float,
+        min_last_heartbeat: float,
         objectives: Objectives,
         counted_resources: CountedResourcePass | None,
     ) -> None:
@@ -31,7 +31,7 @@
         self.wall = wall
         self.objectives = objectives
         self.counted_resources = counted_resources
-        self.machines = EligibleMachines(cluster, now, heard_after)
+        self.machines = EligibleMachines(cluster, now, min_last_heartbeat)
         self.leftovers = GpuMachineLeftovers(cluster, self.machines)
         self.urgency = UrgencyOrder(cluster, now, wall, objectives, counted_resources)
         self.preemption = Preemption(cluster, self.machines, self.urgency, now)
