--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from appleshift.placement.fit import FailedNeeds
+from appleshift.placement.fit import PlacementFailures
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import EPSILON
@@ -21,7 +21,7 @@
         """Machines by (type, zone, spot); a job may use either all of a pool or none."""
         self.reserved: set[int] = set()
         """Indexes of machines whose room is kept for a gang, for this pass."""
-        self.failed_needs = FailedNeeds()
+        self.placement_failures = PlacementFailures()
         for machine in cluster.machines.values():
             if (
                 machine.last_heard >= min_last_heartbeat
@@ -104,9 +104,9 @@
             and machine.index not in self.reserved
         ]
         if not found and not job.avoided_machines:
-            self.failed_needs.add(self.placement_key(job), job.spec)
+            self.placement_failures.add(self.placement_key(job), job.spec)
         return self.in_first_fit_order(job, found)
 
     def cannot_fit(self, job: Job) -> bool:
         """Whether work that needs no more has already found no room in this pass."""
-        return self.failed_needs.covers(self.placement_key(job), job.spec)
+        return self.placement_failures.covers(self.placement_key(job), job.spec)
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -68,7 +68,7 @@
     return max(0.0, now - run.running_since) if run.running_since else 0.0
 
 
-class FailedNeeds:
+class PlacementFailures:
     """Needs that found no room in this pass, by the places that they may use.
 
     Room only shrinks during a pass, so whatever needs at least as much in the same
--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/leftovers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.fit import FailedNeeds, may_share_gpu_machine, tasks_that_fit
+from appleshift.placement.fit import PlacementFailures, may_share_gpu_machine, tasks_that_fit
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import EPSILON
@@ -18,7 +18,7 @@
         self._machines = machines
         self._free: dict[int, tuple[float, float]] | None = None
         """CPUs and memory in GB by machine index, where any are left."""
-        self.failed_needs = FailedNeeds()
+        self.placement_failures = PlacementFailures()
 
     def machines_for(self, job: Job) -> list[Machine]:
         """Machines with leftovers for a task of the job, in the order of first fit.
@@ -32,7 +32,7 @@
         if self._free is None:
             self._free = self._find()
         key = self._machines.placement_key(job)
-        if not self._free or self.failed_needs.covers(key, spec):
+        if not self._free or self.placement_failures.covers(key, spec):
             return []
         found = [
             machine
@@ -40,7 +40,7 @@
             if machine.index in self._free and self.tasks_that_fit(machine, job) > 0
         ]
         if not found and not job.avoided_machines:
-            self.failed_needs.add(key, spec)
+            self.placement_failures.add(key, spec)
         return self._machines.in_first_fit_order(job, found)
 
     def tasks_that_fit(self, machine: Machine, job: Job) -> int:
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.fit import FailedNeeds, lost_work_s, spread_allowance_per_zone
+from appleshift.placement.fit import PlacementFailures, lost_work_s, spread_allowance_per_zone
 from appleshift.placement.freeable_room import FreeableRoom, FreeableRooms
 from appleshift.placement.gang_preemption import GangPreemption, may_preempt
 from appleshift.placement.quota import borrowing_teams, guarantees_apply
@@ -30,7 +30,7 @@
         self._rooms = FreeableRooms()
         self._gangs = GangPreemption(machines, self._rooms, now)
         self._least_urgent_beside_gpus: int | None = None
-        self._failed = FailedNeeds()
+        self._failed = PlacementFailures()
 
     def record_placement(self, job: Job, machine: Machine, tasks: int) -> None:
         """Subtract tasks that this pass placed on a machine from its room."""
