--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -5,9 +5,9 @@
 from appleshift.objectives.objectives import Objectives
 from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.leftovers import GpuMachineLeftovers
 from appleshift.placement.preemption import Preemption
 from appleshift.placement.result import Placement, PlacementResult
+from appleshift.placement.spare_gpu_machine_capacity import SpareGpuMachineCapacity
 from appleshift.placement.urgency import UrgencyOrder
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
@@ -32,7 +32,7 @@
         self.objectives = objectives
         self.counted_resources = counted_resources
         self.machines = EligibleMachines(cluster, now, min_last_heartbeat)
-        self.leftovers = GpuMachineLeftovers(cluster, self.machines)
+        self.spare_gpu_machine_capacity = SpareGpuMachineCapacity(cluster, self.machines)
         self.urgency = UrgencyOrder(cluster, now, wall, objectives, counted_resources)
         self.preemption = Preemption(cluster, self.machines, self.urgency, now)
         self.result = PlacementResult()
@@ -53,7 +53,7 @@
             # take each other's room in every pass and neither ever runs.
             run.rank = job.rank if self.turn_rank is None else min(job.rank, self.turn_rank)
         self.preemption.record_placement(job, machine, len(tasks))
-        self.leftovers.record_placement(job, machine, len(tasks))
+        self.spare_gpu_machine_capacity.record_placement(job, machine, len(tasks))
         self.result.placements.append(Placement(job, machine, attempt, tasks))
 
     def limit_by_counted_resources(self, job: Job) -> int:
--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/spare_gpu_machine_capacity.py
@@ -9,7 +9,7 @@
 from appleshift.state.resources import EPSILON
 
 
-class GpuMachineLeftovers:
+class SpareGpuMachineCapacity:
     """CPUs and memory of GPU machines that no GPU work will need, in one placement pass."""
 
     def __init__(self, cluster: ClusterState, machines: EligibleMachines) -> None:
--- a/appleshift/placement/task_placement.py
+++ b/appleshift/placement/task_placement.py
@@ -31,7 +31,7 @@
             return 0
         eligible = self._pass.machines
         machines = [] if eligible.cannot_fit(job) else eligible.with_room(job)
-        beside_gpus = self._pass.leftovers.machines_for(job)
+        beside_gpus = self._pass.spare_gpu_machine_capacity.machines_for(job)
         if not machines and not beside_gpus:
             self._pass.record_no_machine(job)
             return allowed
@@ -59,7 +59,7 @@
                 job,
                 beside_gpus,
                 tasks[placed:],
-                self._pass.leftovers.tasks_that_fit,
+                self._pass.spare_gpu_machine_capacity.tasks_that_fit,
             )
         return placed
 
