--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -14,7 +14,7 @@
     """The usable machines of one placement pass."""
 
     def __init__(self, cluster: ClusterState, now: float, min_last_heartbeat: float) -> None:
-        """Collect the schedulable machines whose last heartbeat is not before ``min_last_heartbeat``."""
+        """Collect schedulable machines with a heartbeat at ``min_last_heartbeat`` or later."""
         self._cluster = cluster
         self._now = now
         self.pools: dict[tuple[int, int, bool], list[Machine]] = {}
--- a/appleshift/placement/freeable_room.py
+++ b/appleshift/placement/freeable_capacity.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class FreeableRoom:
+class FreeableCapacity:
     """What a machine has free or will have, and which tasks it could stop."""
 
     cpus: float
@@ -68,37 +68,37 @@
         self.add(run.job)
 
 
-class FreeableRooms:
+class FreeableCapacities:
     """The room of each machine that a pass has asked for."""
 
     def __init__(self) -> None:
-        """Start a pass; rooms are computed when they are first asked for."""
-        self._rooms: dict[int, FreeableRoom] = {}
+        """Start a pass; capacity is computed when they are first asked for."""
+        self._capacities: dict[int, FreeableCapacity] = {}
 
-    def of(self, machine: Machine) -> FreeableRoom:
+    def of(self, machine: Machine) -> FreeableCapacity:
         """The room of a machine, kept for the rest of the pass."""
-        room = self._rooms.get(machine.index)
-        if room is None:
-            room = self._rooms[machine.index] = _freeable_room(machine)
-        return room
+        capacity = self._capacities.get(machine.index)
+        if capacity is None:
+            capacity = self._capacities[machine.index] = _freeable_capacity(machine)
+        return capacity
 
     def record_placement(self, job: Job, machine: Machine, tasks: int) -> None:
         """Subtract tasks that this pass placed on a machine."""
-        room = self._rooms.get(machine.index)
-        if room is not None:
-            room.subtract(job, tasks)
+        capacity = self._capacities.get(machine.index)
+        if capacity is not None:
+            capacity.subtract(job, tasks)
 
 
-def _freeable_room(machine: Machine) -> FreeableRoom:
-    room = FreeableRoom(machine.free_cpus, machine.free_gpus, machine.free_memory)
+def _freeable_capacity(machine: Machine) -> FreeableCapacity:
+    capacity = FreeableCapacity(machine.free_cpus, machine.free_gpus, machine.free_memory)
     for run in machine.runs.values():
         if run.state == EXITED:
             continue
         if run.stop_grace_s is not None:
             # Already being stopped: its room comes without a new victim.
-            room.stopping = True
-            room.add(run.job)
+            capacity.stopping = True
+            capacity.add(run.job)
         elif run.state != ASSIGNED:
-            room.runs.append(run)
-            room.least_urgent_rank = max(room.least_urgent_rank, run.rank)
-    return room
+            capacity.runs.append(run)
+            capacity.least_urgent_rank = max(capacity.least_urgent_rank, run.rank)
+    return capacity
--- a/appleshift/placement/gang_preemption.py
+++ b/appleshift/placement/gang_preemption.py
@@ -7,7 +7,7 @@
 
 from appleshift.placement.eligible_machines import EligibleMachines
 from appleshift.placement.fit import lost_work_s
-from appleshift.placement.freeable_room import FreeableRooms
+from appleshift.placement.freeable_capacity import FreeableCapacities
 from appleshift.protocol.users import Submission
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.state.resources import EPSILON
@@ -40,10 +40,12 @@
 class GangPreemption:
     """Chooses victims for gangs at the least cost; nothing stops for a part of a gang."""
 
-    def __init__(self, machines: EligibleMachines, rooms: FreeableRooms, now: float) -> None:
+    def __init__(
+        self, machines: EligibleMachines, capacities: FreeableCapacities, now: float
+    ) -> None:
         """``now`` is monotonic time in seconds."""
         self._machines = machines
-        self._rooms = rooms
+        self._capacities = capacities
         self._now = now
 
     def victims(self, job: Job, tasks: int, borrowers: set[int]) -> list[TaskRun] | None:
@@ -53,9 +55,9 @@
             return None
         cheapest = min(plans, key=lambda plan: plan.lost_work_s)
         for run in cheapest.victims:
-            self._rooms.of(run.machine).stop(run)
+            self._capacities.of(run.machine).stop(run)
         for machine in cheapest.machines:
-            while tasks > 0 and self._rooms.of(machine).promise(job):
+            while tasks > 0 and self._capacities.of(machine).promise(job):
                 tasks -= 1
         return cheapest.victims
 
@@ -77,13 +79,13 @@
         # A gang that loses one task stops whole: count all of it, once.
         groups: dict[tuple[int, int], list[TaskRun]] = {}
         for machine in machines:
-            room = self._rooms.of(machine)
-            if room.gpus + EPSILON >= job.spec.gpus:
+            capacity = self._capacities.of(machine)
+            if capacity.gpus + EPSILON >= job.spec.gpus:
                 # Most machines have no GPU free: what else they have does not matter.
-                tasks -= room.tasks_that_fit(job)
-            if room.least_urgent_rank <= job.rank and not borrowers:
+                tasks -= capacity.tasks_that_fit(job)
+            if capacity.least_urgent_rank <= job.rank and not borrowers:
                 continue
-            for run in room.runs:
+            for run in capacity.runs:
                 if may_preempt(job, run, borrowers):
                     group = (run.job.index, -1 if run.job.gang else run.task)
                     groups.setdefault(group, []).append(run)
@@ -98,18 +100,18 @@
     ) -> list[TaskRun] | None:
         """The cheapest groups whose stops make room for more tasks; None: not even all do."""
         # Copies, for the plan may not be the one that is carried out.
-        rooms = {
-            run.machine.index: replace(self._rooms.of(run.machine), runs=[])
+        capacities = {
+            run.machine.index: replace(self._capacities.of(run.machine), runs=[])
             for group in groups
             for run in group
         }
         victims: list[TaskRun] = []
         for group in sorted(groups, key=self._cost):
             for run in group:
-                room = rooms[run.machine.index]
-                before = room.tasks_that_fit(job)
-                room.add(run.job)
-                tasks -= room.tasks_that_fit(job) - before
+                capacity = capacities[run.machine.index]
+                before = capacity.tasks_that_fit(job)
+                capacity.add(run.job)
+                tasks -= capacity.tasks_that_fit(job) - before
             victims += group
             if tasks <= 0:
                 return victims
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -6,7 +6,7 @@
 
 from appleshift.placement.eligible_machines import EligibleMachines
 from appleshift.placement.fit import PlacementFailures, lost_work_s, spread_allowance_per_zone
-from appleshift.placement.freeable_room import FreeableRoom, FreeableRooms
+from appleshift.placement.freeable_capacity import FreeableCapacities, FreeableCapacity
 from appleshift.placement.gang_preemption import GangPreemption, may_preempt
 from appleshift.placement.quota import borrowing_teams, guarantees_apply
 from appleshift.placement.urgency import UrgencyOrder
@@ -27,14 +27,14 @@
         self._machines = machines
         self._urgency = urgency
         self._now = now
-        self._rooms = FreeableRooms()
-        self._gangs = GangPreemption(machines, self._rooms, now)
+        self._capacities = FreeableCapacities()
+        self._gangs = GangPreemption(machines, self._capacities, now)
         self._least_urgent_beside_gpus: int | None = None
         self._failed = PlacementFailures()
 
     def record_placement(self, job: Job, machine: Machine, tasks: int) -> None:
-        """Subtract tasks that this pass placed on a machine from its room."""
-        self._rooms.record_placement(job, machine, tasks)
+        """Subtract tasks that this pass placed on a machine from its capacity."""
+        self._capacities.record_placement(job, machine, tasks)
 
     def victims(self, job: Job, missing: int) -> list[TaskRun]:
         """Stop just enough less urgent work to make room for ``missing`` tasks."""
@@ -74,7 +74,7 @@
         useful = (
             machine
             for machine in self._machines.in_first_fit_order(job, machines)
-            if self._may_yield_room(self._rooms.of(machine), job)
+            if self._may_free_capacity(self._capacities.of(machine), job)
         )
         return self._make_room_on_each(job, useful, missing, 1, set())
 
@@ -101,14 +101,14 @@
         return self._failed.covers(key, job.spec, missing if job.gang else 1)
 
     @staticmethod
-    def _may_yield_room(room: FreeableRoom, job: Job) -> bool:
-        return room.stopping or room.least_urgent_rank > job.rank
+    def _may_free_capacity(capacity: FreeableCapacity, job: Job) -> bool:
+        return capacity.stopping or capacity.least_urgent_rank > job.rank
 
     def _useful_machines(self, job: Job, borrowers: set[int]) -> list[Machine]:
         useful: list[Machine] = []
         for machine in self._machines.allowed(job):
-            room = self._rooms.of(machine)
-            if self._may_yield_room(room, job) or (borrowers and room.runs):
+            capacity = self._capacities.of(machine)
+            if self._may_free_capacity(capacity, job) or (borrowers and capacity.runs):
                 useful.append(machine)
         return useful
 
@@ -143,8 +143,8 @@
         self, job: Job, machine: Machine, max_tasks: int, borrowers: set[int]
     ) -> tuple[int, list[TaskRun]]:
         """Make room for up to ``max_tasks`` tasks on one machine."""
-        room = self._rooms.of(machine)
-        stoppable = [run for run in room.runs if may_preempt(job, run, borrowers)]
+        capacity = self._capacities.of(machine)
+        stoppable = [run for run in capacity.runs if may_preempt(job, run, borrowers)]
         # Of the least urgent work, what loses least; if equal, what is late anyway.
         now, missed_objectives = self._now, self._urgency.missed_objectives
         stoppable.sort(
@@ -153,22 +153,24 @@
         made = 0
         stopped: list[TaskRun] = []
         while made < max_tasks:
-            if room.promise(job):
+            if capacity.promise(job):
                 made += 1
                 continue
-            victims = _enough_for_one(job, room, stoppable)
+            victims = _enough_for_one(job, capacity, stoppable)
             if victims is None:
                 break
             for run in victims:
                 stoppable.remove(run)
-                room.stop(run)
+                capacity.stop(run)
             stopped += victims
         return made, stopped
 
 
-def _enough_for_one(job: Job, room: FreeableRoom, runs: list[TaskRun]) -> list[TaskRun] | None:
+def _enough_for_one(
+    job: Job, capacity: FreeableCapacity, runs: list[TaskRun]
+) -> list[TaskRun] | None:
     """The first tasks whose stop makes room for one more; None: nothing stops for less."""
-    after = FreeableRoom(room.cpus, room.gpus, room.memory_gb)
+    after = FreeableCapacity(capacity.cpus, capacity.gpus, capacity.memory_gb)
     for count, run in enumerate(runs, start=1):
         after.add(run.job)
         if after.fits(job):
