--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -44,7 +44,7 @@
     return count
 
 
-def remaining_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
+def spread_allowance_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
     """How many more tasks of a spread job each zone may take; None: no limit."""
     spec = job.spec
     if not spec.spread:
@@ -68,7 +68,7 @@
     return max(0.0, now - run.running_since) if run.running_since else 0.0
 
 
-class FailedNeeds:
+class PlacementFailures:
     """Needs that found no room in this pass, by the places that they may use.
 
     Room only shrinks during a pass, so whatever needs at least as much in the same
@@ -95,7 +95,7 @@
         )
 
 
-def may_run_beside_gpus(job: Job) -> bool:
+def may_share_gpu_machine(job: Job) -> bool:
     """Whether a job may use the CPUs that GPU work leaves on GPU machines.
 
     Only CPU work that ends and is bound to no place may: a replica would keep an
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.leftovers import GpuMachineLeftovers
 from appleshift.placement.preemption import Preemption
 from appleshift.placement.result import Placement, PlacementResult
+from appleshift.placement.spare_gpu_machine_capacity import SpareGpuMachineCapacity
 from appleshift.placement.urgency import UrgencyOrder
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
@@ -21,7 +21,7 @@
         cluster: ClusterState,
         now: float,
         wall: float,
-        heard_after: float,
+        min_last_heartbeat: float,
         objectives: Objectives,
         counted_resources: CountedResourcePass | None,
     ) -> None:
@@ -31,8 +31,8 @@
         self.wall = wall
         self.objectives = objectives
         self.counted_resources = counted_resources
-        self.machines = EligibleMachines(cluster, now, heard_after)
-        self.leftovers = GpuMachineLeftovers(cluster, self.machines)
+        self.machines = EligibleMachines(cluster, now, min_last_heartbeat)
+        self.spare_gpu_machine_capacity = SpareGpuMachineCapacity(cluster, self.machines)
         self.urgency = UrgencyOrder(cluster, now, wall, objectives, counted_resources)
         self.preemption = Preemption(cluster, self.machines, self.urgency, now)
         self.result = PlacementResult()
@@ -41,9 +41,9 @@
         self.turn_rank: int | None = None
         """The rank by which it is the present job's turn, if not its own."""
 
-    def is_patience_over(self, job: Job) -> bool:
+    def preemption_delay_is_over(self, job: Job) -> bool:
         """Whether a job has waited long enough for room that comes by itself."""
-        return self.urgency.age_s(job) >= self.objectives.patience_s(job)
+        return self.urgency.age_s(job) >= self.objectives.preemption_delay_s(job)
 
     def assign(self, job: Job, machine: Machine, attempt: int, tasks: list[int]) -> None:
         """Place tasks on a machine."""
@@ -53,7 +53,7 @@
             # take each other's room in every pass and neither ever runs.
             run.rank = job.rank if self.turn_rank is None else min(job.rank, self.turn_rank)
         self.preemption.record_placement(job, machine, len(tasks))
-        self.leftovers.record_placement(job, machine, len(tasks))
+        self.spare_gpu_machine_capacity.record_placement(job, machine, len(tasks))
         self.result.placements.append(Placement(job, machine, attempt, tasks))
 
     def limit_by_counted_resources(self, job: Job) -> int:
@@ -67,7 +67,7 @@
             return pending
         allowed = self.counted_resources.max_tasks(job, pending)
         if allowed < pending:
-            urgent = self.preempt and self.is_patience_over(job)
+            urgent = self.preempt and self.preemption_delay_is_over(job)
             self.result.preempted += self.counted_resources.tasks_lacking(
                 job, pending - allowed, urgent
             )
