--- a/appleshift/scheduler/placement_pass.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -18,7 +18,7 @@
 """Only machines heard within so many heartbeat intervals, and this, are given tasks."""
 
 
-class PlacementPass:
+class PlacementRunner:
     """Places pending tasks on the machines of one term."""
 
     def __init__(self, scheduler: TermScheduler) -> None:
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -31,7 +31,7 @@
 from appleshift.scheduler.machine_deletions import MachineDeletions
 from appleshift.scheduler.pending_replies import PendingReplies
 from appleshift.scheduler.periodic_checks import PeriodicChecks
-from appleshift.scheduler.placement_pass import PlacementPass
+from appleshift.scheduler.placement_runner import PlacementRunner
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
 from appleshift.scheduler.task_runs import TaskRuns
 from appleshift.scheduler.term_recovery import restore_term
@@ -101,7 +101,7 @@
         self._task_runs = TaskRuns(self)
         self._reconciler = HeartbeatReconciler(self)
         self._heartbeat_requests = HeartbeatRequests(self)
-        self._placement_pass = PlacementPass(self)
+        self._placement_runner = PlacementRunner(self)
         self._periodic_checks = PeriodicChecks(self)
 
     def _restore(self, replayer: LogReplayer, wall_time: float) -> None:
@@ -301,4 +301,4 @@
         self._periodic_checks.run()
 
     def _place(self) -> None:
-        self._placement_pass.run()
+        self._placement_runner.run()
