--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -34,7 +34,7 @@
 from appleshift.scheduler.placement_runner import PlacementRunner
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
 from appleshift.scheduler.task_runs import TaskRuns
-from appleshift.scheduler.term_recovery import restore_term
+from appleshift.scheduler.state_restoration import restore_state
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.storage.records import LogReplayer, Record
@@ -105,7 +105,7 @@
         self._periodic_checks = PeriodicChecks(self)
 
     def _restore(self, replayer: LogReplayer, wall_time: float) -> None:
-        restore_term(self, replayer, wall_time)
+        restore_state(self, replayer, wall_time)
 
     # -- replies ----------------------------------------------------------------------
 
--- a/appleshift/scheduler/term_recovery.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -8,7 +8,7 @@
 from appleshift.storage.records import LogReplayer
 
 
-def restore_term(scheduler: TermScheduler, replayer: LogReplayer, wall_time: float) -> None:
+def restore_state(scheduler: TermScheduler, replayer: LogReplayer, wall_time: float) -> None:
     """Take over the recovered state; ``wall_time`` is now, in seconds since the epoch.
 
     Recorded assignments stay where they are until there is proof that they ended.
