--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -33,7 +33,7 @@
 from appleshift.scheduler.periodic_checks import PeriodicChecks
 from appleshift.scheduler.placement_runner import PlacementRunner
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
-from appleshift.scheduler.task_runs import TaskRuns
+from appleshift.scheduler.task_termination import TaskTermination
 from appleshift.scheduler.state_restoration import restore_state
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine, TaskRun
@@ -98,7 +98,7 @@
         self.fleet = Fleet(self, replayer.groups)
         self.job_requests = JobRequests(self)
         self.machine_deletions = MachineDeletions(self)
-        self._task_runs = TaskRuns(self)
+        self._task_termination = TaskTermination(self)
         self._reconciler = HeartbeatReconciler(self)
         self._heartbeat_requests = HeartbeatRequests(self)
         self._placement_runner = PlacementRunner(self)
@@ -188,36 +188,36 @@
 
     def stop_job(self, job: Job) -> None:
         """Order all tasks of a job to stop at once."""
-        self._task_runs.stop_all(job, 0.0, "cancel")
+        self._task_termination.stop_all(job, 0.0, "cancel")
 
     def retire_if_ended(self, job: Job) -> None:
         """Reduce a job to its final state once that is durable and nothing of it can run."""
-        self._task_runs.retire_if_ended(job)
+        self._task_termination.retire_if_ended(job)
 
     # -- task attempts --------------------------------------------------------------------
 
     def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
         """Order a task to stop within ``grace`` seconds; a shorter grace replaces a longer."""
-        self._task_runs.stop(run, grace, reason)
+        self._task_termination.stop(run, grace, reason)
 
     def stop_gang(self, job: Job, grace: float, reason: str) -> None:
         """Order all tasks of a gang to stop in the same moment, or their checkpoint fails."""
-        self._task_runs.stop_all(job, grace, reason)
+        self._task_termination.stop_all(job, grace, reason)
 
     def free_runs(self, runs: list[TaskRun], exited: bool) -> None:
         """Record that attempts are certainly off their machines.
 
         ``exited``: their worker reported the exit.
         """
-        self._task_runs.free(runs, exited)
+        self._task_termination.free(runs, exited)
 
     def finish_runs(self, runs: list[TaskRun]) -> None:
         """Record that attempts completed; their results count once that is durable."""
-        self._task_runs.finish(runs)
+        self._task_termination.finish(runs)
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
         """Complete tasks of a job, by attempts here (``runs``) or in another shard."""
-        self._task_runs.complete_tasks(job, tasks, runs)
+        self._task_termination.complete_tasks(job, tasks, runs)
 
     # -- workers --------------------------------------------------------------------------
 
--- a/appleshift/scheduler/task_runs.py
+++ b/appleshift/scheduler/task_termination.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 
-class TaskRuns:
+class TaskTermination:
     """Stops, frees and completes task attempts of one term."""
 
     def __init__(self, scheduler: TermScheduler) -> None:
