--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -7,14 +7,14 @@
 from appleshift.protocol import users, workers
 from appleshift.protocol.wire import encode
 from appleshift.protocol.workers import Heartbeat
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Machine
 
 
 class HeartbeatRequests:
     """Part of the scheduler that workers talk to."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Answer in the name of ``scheduler``."""
         self._scheduler = scheduler
 
--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -48,7 +48,7 @@
         ...
 
 
-class TermScheduler(ReplyingScheduler, Protocol):
+class FullSchedulerView(ReplyingScheduler, Protocol):
     """The scheduler of one term as its own parts see it."""
 
     commands: WorkerCommands
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -6,7 +6,7 @@
 
 from appleshift.contracts.actions import DeleteMachines
 from appleshift.protocol import cloud
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Machine
 from appleshift.storage import records
 
@@ -17,7 +17,7 @@
 class MachineDeletions:
     """Machines to be deleted, gathered into as few calls as possible: their rate is limited."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Begin with nothing to delete."""
         self._scheduler = scheduler
         self._pending: list[str] = []
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -5,7 +5,7 @@
 import logging
 
 from appleshift.dispatch.worker_commands import RESEND_INTERVAL_S
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.scheduler.snapshot_trigger import SnapshotTrigger
 from appleshift.state.entities import Job
 
@@ -20,7 +20,7 @@
 class PeriodicChecks:
     """The scheduler's tick."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Check the cluster state of ``scheduler``."""
         self._scheduler = scheduler
         self._snapshots = SnapshotTrigger(scheduler)
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -7,7 +7,7 @@
 from appleshift.placement.first_fit import FirstFitPlacer
 from appleshift.placement.fit import stop_grace_s
 from appleshift.placement.result import Placement
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Machine, TaskRun
 from appleshift.storage import records
 
@@ -21,7 +21,7 @@
 class PlacementRunner:
     """Places pending tasks on the machines of one term."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Place the jobs of ``scheduler``."""
         self._scheduler = scheduler
 
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -10,7 +10,7 @@
 
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Heartbeat, TaskStatus
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Machine, TaskRun
 from appleshift.state.states import ASSIGNED, CANCELLED, EXITED, RUN_STATES, RUNNING, WAITING
 
@@ -25,7 +25,7 @@
 class HeartbeatReconciler:
     """Applies heartbeats to the task attempts of one term."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Work on the cluster state of ``scheduler``."""
         self._scheduler = scheduler
 
--- a/appleshift/scheduler/snapshot_trigger.py
+++ b/appleshift/scheduler/snapshot_trigger.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Any
 
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 class SnapshotTrigger:
     """Starts a snapshot once the log has grown beyond the operator's limit."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Watch the write-ahead log of ``scheduler``."""
         self._scheduler = scheduler
 
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.states import CANCELLED, UP
 from appleshift.storage.records import LogReplayer
 
 
-def restore_state(scheduler: TermScheduler, replayer: LogReplayer, wall_time: float) -> None:
+def restore_state(scheduler: FullSchedulerView, replayer: LogReplayer, wall_time: float) -> None:
     """Take over the recovered state; ``wall_time`` is now, in seconds since the epoch.
 
     Recorded assignments stay where they are until there is proof that they ended.
@@ -45,7 +45,7 @@
         run.ordered_this_term = False
 
 
-def _restore_machines(scheduler: TermScheduler) -> None:
+def _restore_machines(scheduler: FullSchedulerView) -> None:
     for machine in scheduler.cluster.machines.values():
         machine.status = UP
         # The previous leader may have renewed the lease until this term's election.
--- a/appleshift/scheduler/task_termination.py
+++ b/appleshift/scheduler/task_termination.py
@@ -9,7 +9,7 @@
 import logging
 from functools import partial
 
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Job, TaskRun
 from appleshift.state.states import ASSIGNED, EXITED, FINISHED, OPEN
 from appleshift.storage import records
@@ -20,7 +20,7 @@
 class TaskTermination:
     """Stops, frees and completes task attempts of one term."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Work on the cluster state of ``scheduler``."""
         self._scheduler = scheduler
         self._cluster = scheduler.cluster
