--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -394,7 +394,7 @@
         self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
         limits = self._limits
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
-        self._relays_seen_at = max(self._relays_seen_at, scheduler.started)
+        self._relays_seen_at = max(self._relays_seen_at, scheduler.started_at)
         if relays:
             self._relays_seen_at = now
         elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -54,11 +54,11 @@
     commands: WorkerCommands
     fast_path: FastPath
     fleet: Fleet
-    started: float
+    started_at: float
     """Monotonic time at which the term began, in seconds."""
     wall_time: float
     """Wall-clock time of the current step, in seconds since the epoch."""
-    placed_at: float
+    last_placement_at: float
     """Monotonic time of the last placement pass, in seconds."""
 
     @property
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -29,7 +29,7 @@
         """Run one pass, unless the write-ahead log lags behind."""
         scheduler = self._scheduler
         scheduler.placement_needed = False
-        scheduler.placed_at = scheduler.now
+        scheduler.last_placement_at = scheduler.now
         if scheduler.write_ahead_log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
             scheduler.placement_needed = True
             return
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -74,11 +74,11 @@
         # Only measures how long work takes; decisions go by ``now``.
         self.clock = dependencies.clock
         self.now = now = self.clock()
-        self.started = now
+        self.started_at = now
         self.wall_time = dependencies.wall_time
         self.placement_needed = True
-        self.placed_at = 0.0
-        self.next_tick = now
+        self.last_placement_at = 0.0
+        self.next_tick_at = now
         self._placement_budget = TimeBudget(self.clock, PLACEMENT_TIME_SHARE)
         self._tick_budget = TimeBudget(self.clock, TICK_TIME_SHARE)
         self.unsaved_final_states = list(dependencies.replayer.unsaved_final_states)
@@ -274,8 +274,8 @@
     def step(self, now: float, wall_time: float) -> None:
         """Do what is due: placement, leases, the fleet, commands, snapshots."""
         self.now, self.wall_time = now, wall_time
-        if now >= self.next_tick and self._tick_budget.due():
-            self.next_tick = now + TICK_INTERVAL_S
+        if now >= self.next_tick_at and self._tick_budget.due():
+            self.next_tick_at = now + TICK_INTERVAL_S
             with self._tick_budget:
                 self._tick()
         if self._placement_due() and not self.draining and self.lease.may_write(now):
@@ -293,7 +293,7 @@
         interval = PLACEMENT_INTERVAL_S + PLACEMENT_INTERVAL_PER_MACHINE_S * machines
         return (
             self.placement_needed
-            and self.now - self.placed_at >= interval
+            and self.now - self.last_placement_at >= interval
             and self._placement_budget.due()
         )
 
--- a/appleshift/scheduler/snapshot_trigger.py
+++ b/appleshift/scheduler/snapshot_trigger.py
@@ -38,7 +38,7 @@
         return (
             not write_ahead_log.snapshotting
             and write_ahead_log.log_bytes >= scheduler.operator.snapshot_kb * 1024
-            and scheduler.now - scheduler.started >= SNAPSHOT_AFTER_S
+            and scheduler.now - scheduler.started_at >= SNAPSHOT_AFTER_S
             and write_ahead_log.lag_s() <= MAX_LOG_LAG_FOR_SNAPSHOT_S
             and scheduler.lease.may_write(scheduler.now)
         )
