--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -22,7 +22,7 @@
     """The scheduler as the part that answers users' requests sees it."""
 
     sharding: ShardingView | None
-    is_stalled: bool
+    writes_stalled: bool
     """The key-value store takes no writes right now."""
     draining: bool
     """The shard is about to be handed over: nothing new is accepted or started."""
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -78,7 +78,7 @@
         scheduler, job_id = self._scheduler, job.spec.id
         if job.accepted:
             scheduler.reply(reply_to, 200, users.state_body(job_id, self.state(job)))
-        elif scheduler.is_stalled:
+        elif scheduler.writes_stalled:
             scheduler.reply_unavailable(reply_to)
         else:
             scheduler.reply_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
@@ -280,7 +280,7 @@
     def _can_write(self) -> bool:
         scheduler = self._scheduler
         return (
-            not (scheduler.is_stalled or scheduler.draining)
+            not (scheduler.writes_stalled or scheduler.draining)
             and scheduler.lease.may_write(scheduler.now)
             and scheduler.write_ahead_log.lag_s() < MAX_LAG_S
         )
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -69,7 +69,7 @@
         # About to be handed over: nothing new is accepted or started.
         self.draining = False
         # The key-value store takes no writes right now.
-        self.is_stalled = False
+        self.writes_stalled = False
         self.actions: deque[Action] = deque()
         # Only measures how long work takes; decisions go by ``now``.
         self.clock = dependencies.clock
@@ -149,7 +149,7 @@
 
     def commit_succeeded(self, revision: int) -> None:
         """Run what waited for the transaction that was committed at ``revision``."""
-        self.is_stalled = False
+        self.writes_stalled = False
         self.write_ahead_log.committed(revision)
 
     def commit_stalled(self) -> None:
@@ -157,7 +157,7 @@
 
         What was appended may become durable yet; whoever asks again then learns so.
         """
-        self.is_stalled = True
+        self.writes_stalled = True
         self._refuse_pending_replies()
 
     def end_term(self) -> None:
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -129,7 +129,7 @@
         elif isinstance(message, PartitionRequest):
             changes = message.partitions or message.cancelled or message.machines
             writes = scheduler.lease.may_write(scheduler.now) and not (
-                scheduler.draining or scheduler.is_stalled
+                scheduler.draining or scheduler.writes_stalled
             )
             if scheduler.lease.may_answer(scheduler.now) and (writes or not changes):
                 standings = self._partitions.request_received(message)
