--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -31,7 +31,7 @@
         """Answer a request now; ``retry_after`` is in seconds, 0 for none."""
         ...
 
-    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer a request once all records appended so far are durable."""
         ...
 
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -81,7 +81,7 @@
         elif scheduler.writes_stalled:
             scheduler.reply_unavailable(reply_to)
         else:
-            scheduler.reply_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
+            scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
 
     def _reject(self, spec: Submission, reply_to: Any) -> bool:
         """Answer a submission that cannot be taken, and tell whether it was one.
@@ -122,7 +122,7 @@
 
         scheduler.append_records([records.final_state_record(spec.id, final)], durable)
         scheduler.unsaved_final_states.append((spec.id, final))
-        scheduler.reply_durable(reply_to, 421, {"share": shard})
+        scheduler.reply_when_durable(reply_to, 421, {"share": shard})
 
     def _accept(self, spec: Submission, reply_to: Any, wall_time: float) -> None:
         scheduler, cluster = self._scheduler, self._cluster
@@ -139,7 +139,7 @@
         if scheduler.sharding is not None:
             new_records += scheduler.sharding.partition_array(job)
         scheduler.append_records(new_records, partial(self._submission_durable, job))
-        scheduler.reply_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
+        scheduler.reply_when_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
         scheduler.job_arrived(spec)
 
     def _submission_durable(self, job: Job) -> None:
@@ -241,7 +241,7 @@
             scheduler.write_ahead_log.append(
                 records.cancel_record(job), lambda: scheduler.job_cancelled(job)
             )
-        scheduler.reply_durable(reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
+        scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
 
     # -- common -------------------------------------------------------------------------
 
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -127,7 +127,7 @@
         if reply_to in self.pending_replies:
             self.reply(reply_to, status, body)
 
-    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer once all records appended so far are durable, unless commits stall."""
         self.hold_reply(reply_to)
         self.write_ahead_log.append(None, lambda: self.answer_held(reply_to, status, body))
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -134,7 +134,7 @@
             if scheduler.lease.may_answer(scheduler.now) and (writes or not changes):
                 standings = self._partitions.request_received(message)
                 taken = [each.name for each in message.machines if self._transfer.accept(each)]
-                scheduler.reply_durable(reply_to, 200, PartitionReply(standings, taken))
+                scheduler.reply_when_durable(reply_to, 200, PartitionReply(standings, taken))
                 return
         scheduler.reply_unavailable(reply_to)
 
