--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -118,19 +118,19 @@
             self.pending_replies.discard(reply_to)
             self.actions.append(Reply(reply_to, status, body, retry_after))
 
-    def hold_reply(self, reply_to: Any) -> None:
+    def add_pending_reply(self, reply_to: Any) -> None:
         """Keep a request that is answered later, or refused if commits stall meanwhile."""
         self.pending_replies.add(reply_to)
 
-    def answer_held(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_if_pending(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer a request that was held, unless it has been refused meanwhile."""
         if reply_to in self.pending_replies:
             self.reply(reply_to, status, body)
 
     def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer once all records appended so far are durable, unless commits stall."""
-        self.hold_reply(reply_to)
-        self.write_ahead_log.append(None, lambda: self.answer_held(reply_to, status, body))
+        self.add_pending_reply(reply_to)
+        self.write_ahead_log.append(None, lambda: self.reply_if_pending(reply_to, status, body))
 
     def reply_unavailable(self, reply_to: Any) -> None:
         """Answer 503: the request may be repeated."""
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -93,7 +93,7 @@
             scheduler.append_records(
                 [records.cancel_requested_record(job)], lambda: self._cancel_requested(job)
             )
-        scheduler.hold_reply(reply_to)
+        scheduler.add_pending_reply(reply_to)
         self._waiting[job.spec.id].append(reply_to)
 
     def _cancel_requested(self, job: Job) -> None:
@@ -116,7 +116,7 @@
             job.cancel_durable = True
             self._forget(job)
             for reply_to in self._waiting.pop(job_id, ()):
-                scheduler.answer_held(reply_to, 200, users.state_body(job_id, users.CANCELLED))
+                scheduler.reply_if_pending(reply_to, 200, users.state_body(job_id, users.CANCELLED))
             scheduler.job_cancelled(job)
 
         scheduler.append_records([records.cancel_record(job)], durable)
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -29,10 +29,10 @@
         """Stop all task runs of a job in this shard."""
         ...
 
-    def hold_reply(self, reply_to: Any) -> None:
-        """Keep a request open until ``answer_held`` or until the log stalls."""
+    def add_pending_reply(self, reply_to: Any) -> None:
+        """Keep a request open until ``reply_if_pending`` or until the log stalls."""
         ...
 
-    def answer_held(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_if_pending(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer a request that is still held; one that was answered meanwhile is left alone."""
         ...
