--- a/appleshift/dispatch/worker_calls.py
+++ b/appleshift/dispatch/worker_calls.py
@@ -35,14 +35,14 @@
         post: Callable[[events.Event], None],
         connect: Callable[[tuple[str, int]], HttpCaller],
         runtime: Runtime,
-        size: int,
-        most: int,
+        thread_count: int,
+        max_clients: int,
     ) -> None:
-        """``size``: threads of the pool; ``most``: workers to which a connection is kept."""
+        """``thread_count``: threads of the pool; ``max_clients``: workers to which a connection is kept."""
         self._post = post
         self._connect = connect
-        self._max_clients = most
-        self._pool = ThreadPool(runtime, "worker-call", size)
+        self._max_clients = max_clients
+        self._pool = ThreadPool(runtime, "worker-call", thread_count)
         # The most recently used last; sockets are limited.
         self._clients: OrderedDict[str, HttpCaller] = OrderedDict()
         self._lock = threading.Lock()
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -110,7 +110,7 @@
             runtime,
         )
         self.workers = WorkerCalls(
-            self._post, connect, runtime, size=capacity.calls, most=capacity.clients
+            self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
         )
         self.cloud = CloudCalls(
             self._post,
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -241,7 +241,9 @@
             scheduler.write_ahead_log.append(
                 records.cancel_record(job), lambda: scheduler.job_cancelled(job)
             )
-        scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
+        scheduler.reply_when_durable(
+            reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status])
+        )
 
     # -- common -------------------------------------------------------------------------
 
