--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -86,17 +86,17 @@
         self._wake.set()
         self._pool.stop()
 
-    def rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def rent(self, action: RentMachines, term: Any, may_call: Callable[[], bool]) -> None:
         """Rent machines; ``events.RentalAnswered`` follows.
 
-        ``entitled`` is asked again right before the call: it may have waited for the rate
+        ``may_call`` is asked again right before the call: it may have waited for the rate
         limit until the term was over.
         """
-        self._pool.submit(self._rent, action, term, entitled)
+        self._pool.submit(self._rent, action, term, may_call)
 
-    def delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
-        """Delete machines, if still ``entitled``; ``events.DeletionAnswered`` follows."""
-        self._pool.submit(self._delete, action, term, entitled)
+    def delete(self, action: DeleteMachines, term: Any, may_call: Callable[[], bool]) -> None:
+        """Delete machines, if still ``may_call``; ``events.DeletionAnswered`` follows."""
+        self._pool.submit(self._delete, action, term, may_call)
 
     def machine_types(self) -> list[cloud.MachineType]:
         """Ask what can be rented; blocks.
@@ -114,16 +114,16 @@
 
     # -- rentals and deletions ----------------------------------------------------------
 
-    def _rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _rent(self, action: RentMachines, term: Any, may_call: Callable[[], bool]) -> None:
         outcome: RentalOutcome | None = None
         body = encode(
             cloud.rent_body(action.request, action.type, action.zone, action.spot, action.count)
         )
         for attempt in range(RENTAL_ATTEMPTS):
-            if self._stop.wait(RENTAL_RETRY_S * attempt) or not entitled():
+            if self._stop.wait(RENTAL_RETRY_S * attempt) or not may_call():
                 break
             try:
-                outcome = self._try_rent(action, body, entitled)
+                outcome = self._try_rent(action, body, may_call)
             except (ClientError, ProtocolError) as error:
                 log.info("rental failed request=%s error=%s", action.request, error)
             if outcome is not None:
@@ -132,11 +132,11 @@
         self._post(events.RentalAnswered(term, action.request, outcome.names, outcome.refused))
 
     def _try_rent(
-        self, action: RentMachines, body: bytes, entitled: Callable[[], bool]
+        self, action: RentMachines, body: bytes, may_call: Callable[[], bool]
     ) -> RentalOutcome | None:
         """One attempt, which may be repeated with the same request id; None: try again."""
         self._rate_limiter.acquire()
-        if not entitled():
+        if not may_call():
             return RentalOutcome()
         status, response = self._client.request("POST", "/machines", body, CALL_TIMEOUT_S)
         if status == 200:
@@ -148,11 +148,11 @@
             return RentalOutcome(refused=True)
         return None
 
-    def _delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _delete(self, action: DeleteMachines, term: Any, may_call: Callable[[], bool]) -> None:
         deleted = False
         try:
             self._rate_limiter.acquire()
-            if entitled():
+            if may_call():
                 body = encode(cloud.delete_body([*action.machines]))
                 status, _ = self._client.request("POST", "/machines/delete", body, CALL_TIMEOUT_S)
                 deleted = status == 200
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -149,7 +149,7 @@
         if outcome != "done":
             machine.avoid_until = max(machine.avoid_until, self._scheduler.now + RESEND_INTERVAL_S)
 
-    def send(self) -> None:
+    def send_due(self) -> None:
         """Send due commands directly that the next heartbeats' responses would hold."""
         if not self._due_machines or not self._scheduler.lease.may_answer(self._scheduler.now):
             return
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -282,7 +282,7 @@
             with self._placement_budget:
                 self._place()
         self.machine_deletions.flush()
-        self.commands.send()
+        self.commands.send_due()
         if self.counted_resources is not None and self.counted_resources.step(now, wall_time):
             self.placement_needed = True
         if self.sharding is not None:
