--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -23,16 +23,16 @@
 CALL_THREADS = 3
 RATE_SHARE = 0.9
 """Share of the cloud's permitted rate that is used."""
-LIST_RATE_SHARE = 0.25
+LISTING_RATE_SHARE = 0.25
 """Share of the cloud's permitted rate that listings may take, page by page."""
-LISTS_PER_LAG = 3
+LISTINGS_PER_LAG = 3
 """Listings in the time by which they lag: more often shows nothing new."""
 RENTAL_ATTEMPTS = 5
-RENTAL_RETRY_S = 0.5
+RENTAL_RETRY_BACKOFF_S = 0.5
 """Added to the pause before each further attempt, in seconds."""
-TYPES_INTERVAL_S = 20.0
+MACHINE_TYPES_INTERVAL_S = 20.0
 """Between requests for machine types and prices, in seconds."""
-FOLLOWER_WAIT_S = 1.0
+LEADER_CHECK_INTERVAL_S = 1.0
 """How often a node that doesn't lead looks whether it does, in seconds."""
 
 
@@ -65,8 +65,8 @@
         self._runtime = runtime
         self._rate_limiter = RateLimiter(runtime, max(1.0, rps * RATE_SHARE))
         self._pool = ThreadPool(runtime, "cloud-call", CALL_THREADS)
-        self._page_interval_s = 1.0 / LIST_RATE_SHARE / rps
-        self._list_interval_s = max(1.0, list_lag_s / LISTS_PER_LAG)
+        self._page_interval_s = 1.0 / LISTING_RATE_SHARE / rps
+        self._list_interval_s = max(1.0, list_lag_s / LISTINGS_PER_LAG)
         self._stop = runtime.event()
         self._wake = runtime.event()
         self._term: Any = None
@@ -120,7 +120,7 @@
             cloud.rent_body(action.request, action.type, action.zone, action.spot, action.count)
         )
         for attempt in range(RENTAL_ATTEMPTS):
-            if self._stop.wait(RENTAL_RETRY_S * attempt) or not may_call():
+            if self._stop.wait(RENTAL_RETRY_BACKOFF_S * attempt) or not may_call():
                 break
             try:
                 outcome = self._try_rent(action, body, may_call)
@@ -168,14 +168,14 @@
         while not self._stop.is_set():
             term = self._term
             if term is None:
-                self._wake.wait(FOLLOWER_WAIT_S)
+                self._wake.wait(LEADER_CHECK_INTERVAL_S)
                 self._wake.clear()
                 continue
             if term is not polled_term:
                 polled_term, types_at = term, -math.inf
             pages = 1
             try:
-                types_due = self._runtime.now() - types_at > TYPES_INTERVAL_S
+                types_due = self._runtime.now() - types_at > MACHINE_TYPES_INTERVAL_S
                 if types_due and self._list_machine_types(term):
                     types_at = self._runtime.now()
                 pages = self._list_machines(term)
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -19,7 +19,7 @@
 """A command without visible effect is sent again after so many seconds."""
 MAX_COMMANDS = 400
 """Commands in one response, which is limited to 64 KiB; the rest follows with the next one."""
-START_CANCELLED_SHARE = 0.5
+CANCEL_TIME_SHARE_FOR_START = 0.5
 """Share of the time to cancel a task in which its start is still sent."""
 
 
@@ -107,7 +107,7 @@
             # worker's next heartbeats show it, or that it is void.
             return False
         cancel_s = self._scheduler.settings.deployment.workers.cancel_s
-        if self._scheduler.now - run.stop_ordered_at > cancel_s * START_CANCELLED_SHARE:
+        if self._scheduler.now - run.stop_ordered_at > cancel_s * CANCEL_TIME_SHARE_FOR_START:
             # Too late to start anything of a cancelled job: if the start does not show
             # itself, the machine is given up.
             return False
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAG_S = 2.0
+MAX_LOG_LAG_FOR_REQUESTS_S = 2.0
 """Nothing is accepted that becomes durable much later: users wait 5 s for an answer."""
 REJECTED_RETRY_AFTER_S = 1
 """After this a submission that cannot be judged yet may be repeated."""
-FINAL_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
+FINAL_STATE_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
 
 
 class JobRequests:
@@ -196,7 +196,7 @@
         job = self._cluster.job_by_id.get(job_id)
         final = self._cluster.final_states.get(job_id)
         if final is not None:
-            return FINAL_NAMES.get(final, users.PENDING)
+            return FINAL_STATE_NAMES.get(final, users.PENDING)
         if job is None:
             return None
         return self._final_state(job) or users.PENDING
@@ -242,7 +242,7 @@
                 records.cancel_record(job), lambda: scheduler.job_cancelled(job)
             )
         scheduler.reply_when_durable(
-            reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status])
+            reply_to, 200, users.state_body(job_id, FINAL_STATE_NAMES[job.status])
         )
 
     # -- common -------------------------------------------------------------------------
@@ -257,7 +257,7 @@
         if final >= FORWARDED:
             self._scheduler.reply(reply_to, 421, {"share": final - FORWARDED})
         else:
-            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_NAMES[final]))
+            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_STATE_NAMES[final]))
         return True
 
     def _reply_unknown_job(
@@ -284,5 +284,5 @@
         return (
             not (scheduler.writes_stalled or scheduler.draining)
             and scheduler.lease.may_write(scheduler.now)
-            and scheduler.write_ahead_log.lag_s() < MAX_LAG_S
+            and scheduler.write_ahead_log.lag_s() < MAX_LOG_LAG_FOR_REQUESTS_S
         )
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-CANCEL_TIME_BEFORE_DELETION = 0.6
+CANCEL_TIME_SHARE_BEFORE_DELETION = 0.6
 """Fraction of the platform's time to cancel a task after which its machine is deleted."""
 RECENT_HEARTBEAT_S = 3 * RESEND_INTERVAL_S
 """A machine heard within this time is sent its stop commands again."""
@@ -56,7 +56,7 @@
         """Stop what still runs of a job that is over; a machine that does not is deleted."""
         scheduler = self._scheduler
         delete_after_s = (
-            scheduler.settings.deployment.workers.cancel_s * CANCEL_TIME_BEFORE_DELETION
+            scheduler.settings.deployment.workers.cancel_s * CANCEL_TIME_SHARE_BEFORE_DELETION
         )
         for run in list(job.runs.values()):
             if run.stop_grace_s is None:
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -13,8 +13,8 @@
 
 MAX_LOG_LAG_FOR_PLACEMENT_S = 1.0
 """No pass while records wait longer: the log is left to what users wait for."""
-HEARD_WITHIN_REPORTS = 2.5
-HEARD_WITHIN_EXTRA_S = 0.5
+MAX_HEARTBEAT_AGE_INTERVALS = 2.5
+MAX_HEARTBEAT_AGE_MARGIN_S = 0.5
 """Only machines heard within so many heartbeat intervals, and this, are given tasks."""
 
 
@@ -45,7 +45,9 @@
     def _placer(self) -> FirstFitPlacer:
         scheduler = self._scheduler
         report_s = scheduler.settings.deployment.workers.report_s
-        heard_after = scheduler.now - HEARD_WITHIN_REPORTS * report_s - HEARD_WITHIN_EXTRA_S
+        heard_after = (
+            scheduler.now - MAX_HEARTBEAT_AGE_INTERVALS * report_s - MAX_HEARTBEAT_AGE_MARGIN_S
+        )
         counted = scheduler.counted_resources
         return FirstFitPlacer(
             scheduler.cluster,
--- a/appleshift/scheduler/snapshot_trigger.py
+++ b/appleshift/scheduler/snapshot_trigger.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_AFTER_S = 5.0
+MIN_TERM_AGE_FOR_SNAPSHOT_S = 5.0
 """A term takes no snapshot before this age: users and workers come first when it begins.
 
 The log that a leader found counts towards the next snapshot, or a log over which leaders
@@ -38,7 +38,7 @@
         return (
             not write_ahead_log.snapshotting
             and write_ahead_log.log_bytes >= scheduler.operator.snapshot_kb * 1024
-            and scheduler.now - scheduler.started_at >= SNAPSHOT_AFTER_S
+            and scheduler.now - scheduler.started_at >= MIN_TERM_AGE_FOR_SNAPSHOT_S
             and write_ahead_log.lag_s() <= MAX_LOG_LAG_FOR_SNAPSHOT_S
             and scheduler.lease.may_write(scheduler.now)
         )
