--- a/appleshift/dispatch/worker_calls.py
+++ b/appleshift/dispatch/worker_calls.py
@@ -38,7 +38,7 @@
         thread_count: int,
         max_clients: int,
     ) -> None:
-        """``thread_count``: threads of the pool; ``max_clients``: workers to which a connection is kept."""
+        """Keep at most ``max_clients`` open connections; the pool has ``thread_count`` threads."""
         self._post = post
         self._connect = connect
         self._max_clients = max_clients
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -33,8 +33,8 @@
 from appleshift.scheduler.periodic_checks import PeriodicChecks
 from appleshift.scheduler.placement_runner import PlacementRunner
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
-from appleshift.scheduler.task_termination import TaskTermination
 from appleshift.scheduler.state_restoration import restore_state
+from appleshift.scheduler.task_termination import TaskTermination
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.storage.records import LogReplayer, Record
