--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -23,16 +23,16 @@
 CALL_THREADS = 3
 RATE_SHARE = 0.9
 """Share of the cloud's permitted rate that is used."""
-LIST_RATE_SHARE = 0.25
+LISTING_RATE_SHARE = 0.25
 """Share of the cloud's permitted rate that listings may take, page by page."""
-LISTS_PER_LAG = 3
+LISTINGS_PER_LAG = 3
 """Listings in the time by which they lag: more often shows nothing new."""
 RENTAL_ATTEMPTS = 5
-RENTAL_RETRY_S = 0.5
+RENTAL_RETRY_BACKOFF_S = 0.5
 """Added to the pause before each further attempt, in seconds."""
-TYPES_INTERVAL_S = 20.0
+MACHINE_TYPES_INTERVAL_S = 20.0
 """Between requests for machine types and prices, in seconds."""
-FOLLOWER_WAIT_S = 1.0
+LEADER_CHECK_INTERVAL_S = 1.0
 """How often a node that doesn't lead looks whether it does, in seconds."""
 
 
@@ -65,8 +65,8 @@
         self._runtime = runtime
         self._rate_limiter = RateLimiter(runtime, max(1.0, rps * RATE_SHARE))
         self._pool = ThreadPool(runtime, "cloud-call", CALL_THREADS)
-        self._page_interval_s = 1.0 / LIST_RATE_SHARE / rps
-        self._list_interval_s = max(1.0, list_lag_s / LISTS_PER_LAG)
+        self._page_interval_s = 1.0 / LISTING_RATE_SHARE / rps
+        self._list_interval_s = max(1.0, list_lag_s / LISTINGS_PER_LAG)
         self._stop = runtime.event()
         self._wake = runtime.event()
         self._term: Any = None
@@ -86,17 +86,17 @@
         self._wake.set()
         self._pool.stop()
 
-    def rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def rent(self, action: RentMachines, term: Any, may_call: Callable[[], bool]) -> None:
         """Rent machines; ``events.RentalAnswered`` follows.
 
-        ``entitled`` is asked again right before the call: it may have waited for the rate
+        ``may_call`` is asked again right before the call: it may have waited for the rate
         limit until the term was over.
         """
-        self._pool.submit(self._rent, action, term, entitled)
+        self._pool.submit(self._rent, action, term, may_call)
 
-    def delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
-        """Delete machines, if still ``entitled``; ``events.DeletionAnswered`` follows."""
-        self._pool.submit(self._delete, action, term, entitled)
+    def delete(self, action: DeleteMachines, term: Any, may_call: Callable[[], bool]) -> None:
+        """Delete machines, if still ``may_call``; ``events.DeletionAnswered`` follows."""
+        self._pool.submit(self._delete, action, term, may_call)
 
     def machine_types(self) -> list[cloud.MachineType]:
         """Ask what can be rented; blocks.
@@ -114,16 +114,16 @@
 
     # -- rentals and deletions ----------------------------------------------------------
 
-    def _rent(self, action: RentMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _rent(self, action: RentMachines, term: Any, may_call: Callable[[], bool]) -> None:
         outcome: RentalOutcome | None = None
         body = encode(
             cloud.rent_body(action.request, action.type, action.zone, action.spot, action.count)
         )
         for attempt in range(RENTAL_ATTEMPTS):
-            if self._stop.wait(RENTAL_RETRY_S * attempt) or not entitled():
+            if self._stop.wait(RENTAL_RETRY_BACKOFF_S * attempt) or not may_call():
                 break
             try:
-                outcome = self._try_rent(action, body, entitled)
+                outcome = self._try_rent(action, body, may_call)
             except (ClientError, ProtocolError) as error:
                 log.info("rental failed request=%s error=%s", action.request, error)
             if outcome is not None:
@@ -132,11 +132,11 @@
         self._post(events.RentalAnswered(term, action.request, outcome.names, outcome.refused))
 
     def _try_rent(
-        self, action: RentMachines, body: bytes, entitled: Callable[[], bool]
+        self, action: RentMachines, body: bytes, may_call: Callable[[], bool]
     ) -> RentalOutcome | None:
         """One attempt, which may be repeated with the same request id; None: try again."""
         self._rate_limiter.acquire()
-        if not entitled():
+        if not may_call():
             return RentalOutcome()
         status, response = self._client.request("POST", "/machines", body, CALL_TIMEOUT_S)
         if status == 200:
@@ -148,11 +148,11 @@
             return RentalOutcome(refused=True)
         return None
 
-    def _delete(self, action: DeleteMachines, term: Any, entitled: Callable[[], bool]) -> None:
+    def _delete(self, action: DeleteMachines, term: Any, may_call: Callable[[], bool]) -> None:
         deleted = False
         try:
             self._rate_limiter.acquire()
-            if entitled():
+            if may_call():
                 body = encode(cloud.delete_body([*action.machines]))
                 status, _ = self._client.request("POST", "/machines/delete", body, CALL_TIMEOUT_S)
                 deleted = status == 200
@@ -168,14 +168,14 @@
         while not self._stop.is_set():
             term = self._term
             if term is None:
-                self._wake.wait(FOLLOWER_WAIT_S)
+                self._wake.wait(LEADER_CHECK_INTERVAL_S)
                 self._wake.clear()
                 continue
             if term is not polled_term:
                 polled_term, types_at = term, -math.inf
             pages = 1
             try:
-                types_due = self._runtime.now() - types_at > TYPES_INTERVAL_S
+                types_due = self._runtime.now() - types_at > MACHINE_TYPES_INTERVAL_S
                 if types_due and self._list_machine_types(term):
                     types_at = self._runtime.now()
                 pages = self._list_machines(term)
--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -22,7 +22,7 @@
     """The scheduler as the part that answers users' requests sees it."""
 
     sharding: ShardingView | None
-    is_stalled: bool
+    writes_stalled: bool
     """The key-value store takes no writes right now."""
     draining: bool
     """The shard is about to be handed over: nothing new is accepted or started."""
@@ -31,7 +31,7 @@
         """Answer a request now; ``retry_after`` is in seconds, 0 for none."""
         ...
 
-    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer a request once all records appended so far are durable."""
         ...
 
@@ -48,17 +48,17 @@
         ...
 
 
-class TermScheduler(ReplyingScheduler, Protocol):
+class FullSchedulerView(ReplyingScheduler, Protocol):
     """The scheduler of one term as its own parts see it."""
 
     commands: WorkerCommands
     fast_path: FastPath
     fleet: Fleet
-    started: float
+    started_at: float
     """Monotonic time at which the term began, in seconds."""
     wall_time: float
     """Wall-clock time of the current step, in seconds since the epoch."""
-    placed_at: float
+    last_placement_at: float
     """Monotonic time of the last placement pass, in seconds."""
 
     @property
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -24,11 +24,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LAG_S = 2.0
+MAX_LOG_LAG_FOR_REQUESTS_S = 2.0
 """Nothing is accepted that becomes durable much later: users wait 5 s for an answer."""
 REJECTED_RETRY_AFTER_S = 1
 """After this a submission that cannot be judged yet may be repeated."""
-FINAL_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
+FINAL_STATE_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
 
 
 class JobRequests:
@@ -78,10 +78,10 @@
         scheduler, job_id = self._scheduler, job.spec.id
         if job.accepted:
             scheduler.reply(reply_to, 200, users.state_body(job_id, self.state(job)))
-        elif scheduler.is_stalled:
+        elif scheduler.writes_stalled:
             scheduler.reply_unavailable(reply_to)
         else:
-            scheduler.reply_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
+            scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
 
     def _reject(self, spec: Submission, reply_to: Any) -> bool:
         """Answer a submission that cannot be taken, and tell whether it was one.
@@ -122,7 +122,7 @@
 
         scheduler.append_records([records.final_state_record(spec.id, final)], durable)
         scheduler.unsaved_final_states.append((spec.id, final))
-        scheduler.reply_durable(reply_to, 421, {"share": shard})
+        scheduler.reply_when_durable(reply_to, 421, {"share": shard})
 
     def _accept(self, spec: Submission, reply_to: Any, wall_time: float) -> None:
         scheduler, cluster = self._scheduler, self._cluster
@@ -139,7 +139,7 @@
         if scheduler.sharding is not None:
             new_records += scheduler.sharding.partition_array(job)
         scheduler.append_records(new_records, partial(self._submission_durable, job))
-        scheduler.reply_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
+        scheduler.reply_when_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
         scheduler.job_arrived(spec)
 
     def _submission_durable(self, job: Job) -> None:
@@ -196,7 +196,7 @@
         job = self._cluster.job_by_id.get(job_id)
         final = self._cluster.final_states.get(job_id)
         if final is not None:
-            return FINAL_NAMES.get(final, users.PENDING)
+            return FINAL_STATE_NAMES.get(final, users.PENDING)
         if job is None:
             return None
         return self._final_state(job) or users.PENDING
@@ -241,7 +241,9 @@
             scheduler.write_ahead_log.append(
                 records.cancel_record(job), lambda: scheduler.job_cancelled(job)
             )
-        scheduler.reply_durable(reply_to, 200, users.state_body(job_id, FINAL_NAMES[job.status]))
+        scheduler.reply_when_durable(
+            reply_to, 200, users.state_body(job_id, FINAL_STATE_NAMES[job.status])
+        )
 
     # -- common -------------------------------------------------------------------------
 
@@ -255,7 +257,7 @@
         if final >= FORWARDED:
             self._scheduler.reply(reply_to, 421, {"share": final - FORWARDED})
         else:
-            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_NAMES[final]))
+            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_STATE_NAMES[final]))
         return True
 
     def _reply_unknown_job(
@@ -280,7 +282,7 @@
     def _can_write(self) -> bool:
         scheduler = self._scheduler
         return (
-            not (scheduler.is_stalled or scheduler.draining)
+            not (scheduler.writes_stalled or scheduler.draining)
             and scheduler.lease.may_write(scheduler.now)
-            and scheduler.write_ahead_log.lag_s() < MAX_LAG_S
+            and scheduler.write_ahead_log.lag_s() < MAX_LOG_LAG_FOR_REQUESTS_S
         )
--- a/appleshift/scheduler/placement_pass.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -7,21 +7,21 @@
 from appleshift.placement.first_fit import FirstFitPlacer
 from appleshift.placement.fit import stop_grace_s
 from appleshift.placement.result import Placement
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.entities import Machine, TaskRun
 from appleshift.storage import records
 
 MAX_LOG_LAG_FOR_PLACEMENT_S = 1.0
 """No pass while records wait longer: the log is left to what users wait for."""
-HEARD_WITHIN_REPORTS = 2.5
-HEARD_WITHIN_EXTRA_S = 0.5
+MAX_HEARTBEAT_AGE_INTERVALS = 2.5
+MAX_HEARTBEAT_AGE_MARGIN_S = 0.5
 """Only machines heard within so many heartbeat intervals, and this, are given tasks."""
 
 
-class PlacementPass:
+class PlacementRunner:
     """Places pending tasks on the machines of one term."""
 
-    def __init__(self, scheduler: TermScheduler) -> None:
+    def __init__(self, scheduler: FullSchedulerView) -> None:
         """Place the jobs of ``scheduler``."""
         self._scheduler = scheduler
 
@@ -29,7 +29,7 @@
         """Run one pass, unless the write-ahead log lags behind."""
         scheduler = self._scheduler
         scheduler.placement_needed = False
-        scheduler.placed_at = scheduler.now
+        scheduler.last_placement_at = scheduler.now
         if scheduler.write_ahead_log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
             scheduler.placement_needed = True
             return
@@ -47,7 +47,9 @@
     def _placer(self) -> FirstFitPlacer:
         scheduler = self._scheduler
         report_s = scheduler.settings.deployment.workers.report_s
-        heard_after = scheduler.now - HEARD_WITHIN_REPORTS * report_s - HEARD_WITHIN_EXTRA_S
+        heard_after = (
+            scheduler.now - MAX_HEARTBEAT_AGE_INTERVALS * report_s - MAX_HEARTBEAT_AGE_MARGIN_S
+        )
         counted = scheduler.counted_resources
         return FirstFitPlacer(
             scheduler.cluster,
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -31,10 +31,10 @@
 from appleshift.scheduler.machine_deletions import MachineDeletions
 from appleshift.scheduler.pending_replies import PendingReplies
 from appleshift.scheduler.periodic_checks import PeriodicChecks
-from appleshift.scheduler.placement_pass import PlacementPass
+from appleshift.scheduler.placement_runner import PlacementRunner
 from appleshift.scheduler.reconciliation import HeartbeatReconciler
-from appleshift.scheduler.task_runs import TaskRuns
-from appleshift.scheduler.term_recovery import restore_term
+from appleshift.scheduler.state_restoration import restore_state
+from appleshift.scheduler.task_termination import TaskTermination
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.storage.records import LogReplayer, Record
@@ -69,16 +69,16 @@
         # About to be handed over: nothing new is accepted or started.
         self.draining = False
         # The key-value store takes no writes right now.
-        self.is_stalled = False
+        self.writes_stalled = False
         self.actions: deque[Action] = deque()
         # Only measures how long work takes; decisions go by ``now``.
         self.clock = dependencies.clock
         self.now = now = self.clock()
-        self.started = now
+        self.started_at = now
         self.wall_time = dependencies.wall_time
         self.placement_needed = True
-        self.placed_at = 0.0
-        self.next_tick = now
+        self.last_placement_at = 0.0
+        self.next_tick_at = now
         self._placement_budget = TimeBudget(self.clock, PLACEMENT_TIME_SHARE)
         self._tick_budget = TimeBudget(self.clock, TICK_TIME_SHARE)
         self.unsaved_final_states = list(dependencies.replayer.unsaved_final_states)
@@ -98,14 +98,14 @@
         self.fleet = Fleet(self, replayer.groups)
         self.job_requests = JobRequests(self)
         self.machine_deletions = MachineDeletions(self)
-        self._task_runs = TaskRuns(self)
+        self._task_termination = TaskTermination(self)
         self._reconciler = HeartbeatReconciler(self)
         self._heartbeat_requests = HeartbeatRequests(self)
-        self._placement_pass = PlacementPass(self)
+        self._placement_runner = PlacementRunner(self)
         self._periodic_checks = PeriodicChecks(self)
 
     def _restore(self, replayer: LogReplayer, wall_time: float) -> None:
-        restore_term(self, replayer, wall_time)
+        restore_state(self, replayer, wall_time)
 
     # -- replies ----------------------------------------------------------------------
 
@@ -118,19 +118,19 @@
             self.pending_replies.discard(reply_to)
             self.actions.append(Reply(reply_to, status, body, retry_after))
 
-    def hold_reply(self, reply_to: Any) -> None:
+    def add_pending_reply(self, reply_to: Any) -> None:
         """Keep a request that is answered later, or refused if commits stall meanwhile."""
         self.pending_replies.add(reply_to)
 
-    def answer_held(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_if_pending(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer a request that was held, unless it has been refused meanwhile."""
         if reply_to in self.pending_replies:
             self.reply(reply_to, status, body)
 
-    def reply_durable(self, reply_to: Any, status: int, body: Any) -> None:
+    def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
         """Answer once all records appended so far are durable, unless commits stall."""
-        self.hold_reply(reply_to)
-        self.write_ahead_log.append(None, lambda: self.answer_held(reply_to, status, body))
+        self.add_pending_reply(reply_to)
+        self.write_ahead_log.append(None, lambda: self.reply_if_pending(reply_to, status, body))
 
     def reply_unavailable(self, reply_to: Any) -> None:
         """Answer 503: the request may be repeated."""
@@ -149,7 +149,7 @@
 
     def commit_succeeded(self, revision: int) -> None:
         """Run what waited for the transaction that was committed at ``revision``."""
-        self.is_stalled = False
+        self.writes_stalled = False
         self.write_ahead_log.committed(revision)
 
     def commit_stalled(self) -> None:
@@ -157,7 +157,7 @@
 
         What was appended may become durable yet; whoever asks again then learns so.
         """
-        self.is_stalled = True
+        self.writes_stalled = True
         self._refuse_pending_replies()
 
     def end_term(self) -> None:
@@ -188,36 +188,36 @@
 
     def stop_job(self, job: Job) -> None:
         """Order all tasks of a job to stop at once."""
-        self._task_runs.stop_all(job, 0.0, "cancel")
+        self._task_termination.stop_all(job, 0.0, "cancel")
 
     def retire_if_ended(self, job: Job) -> None:
         """Reduce a job to its final state once that is durable and nothing of it can run."""
-        self._task_runs.retire_if_ended(job)
+        self._task_termination.retire_if_ended(job)
 
     # -- task attempts --------------------------------------------------------------------
 
     def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
         """Order a task to stop within ``grace`` seconds; a shorter grace replaces a longer."""
-        self._task_runs.stop(run, grace, reason)
+        self._task_termination.stop(run, grace, reason)
 
     def stop_gang(self, job: Job, grace: float, reason: str) -> None:
         """Order all tasks of a gang to stop in the same moment, or their checkpoint fails."""
-        self._task_runs.stop_all(job, grace, reason)
+        self._task_termination.stop_all(job, grace, reason)
 
     def free_runs(self, runs: list[TaskRun], exited: bool) -> None:
         """Record that attempts are certainly off their machines.
 
         ``exited``: their worker reported the exit.
         """
-        self._task_runs.free(runs, exited)
+        self._task_termination.free(runs, exited)
 
     def finish_runs(self, runs: list[TaskRun]) -> None:
         """Record that attempts completed; their results count once that is durable."""
-        self._task_runs.finish(runs)
+        self._task_termination.finish(runs)
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
         """Complete tasks of a job, by attempts here (``runs``) or in another shard."""
-        self._task_runs.complete_tasks(job, tasks, runs)
+        self._task_termination.complete_tasks(job, tasks, runs)
 
     # -- workers --------------------------------------------------------------------------
 
@@ -274,15 +274,15 @@
     def step(self, now: float, wall_time: float) -> None:
         """Do what is due: placement, leases, the fleet, commands, snapshots."""
         self.now, self.wall_time = now, wall_time
-        if now >= self.next_tick and self._tick_budget.due():
-            self.next_tick = now + TICK_INTERVAL_S
+        if now >= self.next_tick_at and self._tick_budget.due():
+            self.next_tick_at = now + TICK_INTERVAL_S
             with self._tick_budget:
                 self._tick()
         if self._placement_due() and not self.draining and self.lease.may_write(now):
             with self._placement_budget:
                 self._place()
         self.machine_deletions.flush()
-        self.commands.send()
+        self.commands.send_due()
         if self.counted_resources is not None and self.counted_resources.step(now, wall_time):
             self.placement_needed = True
         if self.sharding is not None:
@@ -293,7 +293,7 @@
         interval = PLACEMENT_INTERVAL_S + PLACEMENT_INTERVAL_PER_MACHINE_S * machines
         return (
             self.placement_needed
-            and self.now - self.placed_at >= interval
+            and self.now - self.last_placement_at >= interval
             and self._placement_budget.due()
         )
 
@@ -301,4 +301,4 @@
         self._periodic_checks.run()
 
     def _place(self) -> None:
-        self._placement_pass.run()
+        self._placement_runner.run()
