--- a/appleshift/provisioning/__init__.py
+++ b/appleshift/provisioning/__init__.py
@@ -1,1 +1,1 @@
-"""Scale-out and scale-in: the capacity plan, what is rented for it and what is returned."""
+"""Scale-out and scale-in: plans capacity, rents missing machines and returns idle machines."""
--- a/appleshift/provisioning/consolidation.py
+++ b/appleshift/provisioning/consolidation.py
@@ -1,8 +1,9 @@
-"""Emptying an on-demand machine that is not needed, by moving its replicas.
+"""Consolidation: empties an on-demand machine that is not needed by moving its replicas.
 
-Replicas may never end, so one on each of several half-empty machines would keep them all for
-good. When on-demand capacity is to spare, one machine at a time is cordoned; its replicas
-move, a few at a time, to machines that have their image, and once it is empty it is returned.
+Service replicas may never end, so a single replica would keep a nearly empty machine rented
+forever. When there is spare on-demand capacity, one machine at a time is cordoned. Its replicas
+are moved, a few at a time, to machines that have their image. Once the machine is empty, it is
+deleted.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
 
 log = logging.getLogger(__name__)
 
-SETTLED_S = 40.0
-"""Neither a new leader nor a replica that started within so many seconds is disturbed."""
+SETTLING_TIME_S = 40.0
+"""Time in seconds before a new leader starts to empty a machine, and before a replica that has
+started is moved."""
 CHOICE_INTERVAL_S = 2.0
-"""Between attempts to find a machine to empty, in seconds."""
+"""Time between attempts to find a machine to empty, in seconds."""
 MAX_CONCURRENT_MOVES = 2
 MAX_UTILIZATION = 0.6
-"""A machine of which a larger share of the CPUs is used is not worth emptying."""
+"""Machines of which a larger fraction of the CPUs is used are not emptied."""
 
 
 class Consolidation:
-    """Empties at most one machine at a time."""
+    """Empties on-demand machines that are not needed, at most one at a time."""
 
     def __init__(self, fleet: FleetView) -> None:
-        """Start a term, in which nothing is emptied yet."""
+        """Start a term; no machine is being emptied."""
         self._fleet = fleet
         self._cluster = fleet.cluster
         self._started = fleet.scheduler.now
@@ -38,12 +40,12 @@
         self._next_choice = fleet.scheduler.now
 
     def step(self, now: float) -> None:
-        """Go on with the machine that is being emptied, or choose one."""
+        """Continue to empty the chosen machine, or choose one if there is none."""
         machine = self._draining_machine
         if machine is None:
             if now >= self._next_choice:
                 self._next_choice = now + CHOICE_INTERVAL_S
-                self._choose(now)
+                self._choose_machine(now)
         elif machine.deletion_requested or machine.status != UP:
             self._draining_machine = None
         elif self._fleet.shortages:
@@ -56,17 +58,17 @@
         else:
             self._move_replicas(machine, now)
 
-    def _choose(self, now: float) -> None:
-        """Cordon the machine whose unused part costs most, if its replicas fit elsewhere."""
+    def _choose_machine(self, now: float) -> None:
+        """Cordon the machine with the most expensive unused CPUs, if its replicas fit elsewhere."""
         fleet = self._fleet
-        if fleet.shortages or fleet.pending_rentals or now - self._started < SETTLED_S:
+        if fleet.shortages or fleet.pending_rentals or now - self._started < SETTLING_TIME_S:
             return
         spare = fleet.on_demand_spare.get(False, 0.0)
         best: Machine | None = None
         best_saving = 0.0
         for machine in self._cluster.machines.values():
             utilization = self._utilization(machine)
-            if not self._may_be_emptied(machine, utilization, spare):
+            if not self._may_empty(machine, utilization, spare):
                 continue
             saving = self._cluster.types[machine.type].price * (1.0 - utilization)
             if best is None or saving > best_saving:
@@ -80,12 +82,15 @@
             log.info("consolidation started machine=%s", best.name)
 
     def _utilization(self, machine: Machine) -> float:
-        """The share of a machine's CPUs that is used."""
+        """Return the fraction of a machine's CPUs that is used."""
         machine_type = self._cluster.types[machine.type]
         return 1.0 - machine.free_cpus / machine_type.cpus if machine_type.cpus else 1.0
 
-    def _may_be_emptied(self, machine: Machine, utilization: float, spare: float) -> bool:
-        """Whether it is a little-used on-demand machine without GPUs that is not needed."""
+    def _may_empty(self, machine: Machine, utilization: float, spare: float) -> bool:
+        """Whether a machine is an on-demand machine without GPUs, little used and not needed.
+
+        ``spare`` is the on-demand capacity that is not needed, in units.
+        """
         if machine.spot or self._cluster.types[machine.type].gpus > 0:
             return False
         if not machine.schedulable() or utilization > MAX_UTILIZATION:
@@ -95,18 +100,23 @@
             return False
         return not machine.empty()
 
-    def _fit_elsewhere(self, leaving: Machine, replicas: list[TaskRun], now: float) -> bool:
-        """Whether every replica would find a machine with its image."""
+    def _fit_elsewhere(self, source: Machine, replicas: list[TaskRun], now: float) -> bool:
+        """Whether all replicas of ``source`` fit on other machines that have their images."""
         free_resources = {
             machine.index: [machine.free_cpus, machine.free_gpus, machine.free_memory]
             for machine in self._cluster.machines.values()
-            if machine is not leaving and machine.schedulable() and machine.avoid_until <= now
+            if machine is not source and machine.schedulable() and machine.avoid_until <= now
             if not machine.in_other_shard
         }
-        return all(self._take_room(run, free_resources) for run in replicas)
+        return all(self._subtract_from_first_fit(run, free_resources) for run in replicas)
+
+    def _subtract_from_first_fit(
+        self, run: TaskRun, free_resources: dict[int, list[float]]
+    ) -> bool:
+        """Subtract a replica's resources from the first machine that may run it.
 
-    def _take_room(self, run: TaskRun, free_resources: dict[int, list[float]]) -> bool:
-        """Subtract a replica's resources from the first machine that may run it."""
+        Returns false if no machine may run the replica.
+        """
         spec = run.job.spec
         needed = (spec.cpus, spec.gpus, spec.memory_gb)
         for index, free in free_resources.items():
@@ -118,7 +128,7 @@
         return False
 
     def _may_run_on(self, job: Job, run: TaskRun, machine: Machine) -> bool:
-        """Whether a job's constraints allow one of its replicas to move to a machine."""
+        """Whether a job's constraints allow its replica ``run`` to move to a machine."""
         if job.image not in machine.images or not self._cluster.eligible_types(job)[machine.type]:
             return False
         if (machine.spot and not job.spec.spot) or job.zone not in (-1, machine.zone):
@@ -130,12 +140,12 @@
         return remaining is None or remaining[machine.zone] + same_zone > 0
 
     def _move_replicas(self, machine: Machine, now: float) -> None:
-        """Stop a few replicas that fit elsewhere; placement starts them there."""
+        """Stop a few replicas that fit elsewhere; placement then starts them on other machines."""
         moving = sum(1 for run in machine.runs.values() if run.stop_grace_s is not None)
         for run in list(machine.runs.values()):
             if moving >= MAX_CONCURRENT_MOVES:
                 return
-            settled = run.state == RUNNING and now - run.running_since > SETTLED_S
+            settled = run.state == RUNNING and now - run.running_since > SETTLING_TIME_S
             if not (run.job.service and settled and run.stop_grace_s is None):
                 continue
             if self._fit_elsewhere(machine, [run], now):
--- a/appleshift/provisioning/demand.py
+++ b/appleshift/provisioning/demand.py
@@ -1,4 +1,4 @@
-"""How much capacity the jobs of a pool need, and those that will arrive soon."""
+"""Capacity that the open jobs of a pool need, and the jobs expected to arrive soon."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from appleshift.state.entities import Job
 from appleshift.state.states import OPEN
 
-PROMPT_BOOTS = 2.0
-"""Jobs that may wait for this many boots can be rented for when they arrive."""
+MIN_WAIT_BOOTS = 2.0
+"""No capacity is rented in advance for jobs that may wait this many boot times or longer."""
 MIN_WINDOW_DIVISOR = 3
-"""Arrivals are averaged over at least the window divided by this, or the jobs that are there
-when a term starts would look like a stream."""
+"""Arrivals are averaged over at least the window divided by this value. Otherwise the jobs that
+are open at the start of a term would count as a steady arrival rate."""
 CPUS, GPUS = 0, 1
-"""Positions in a sum of resources, which is ``[CPUs, GPUs, GB of memory]``."""
+"""Indexes into a list of resources, ``[CPUs, GPUs, GB of memory]``."""
 
 
 def required_capacity(pool: PoolView, now: float) -> tuple[float, float]:
-    """The required units, and the part that may not be spot machines, over all shards."""
+    """Return the units that all shards require: in total, and on on-demand machines only."""
     unit = pool.cluster.types[pool.on_demand_type]
     total, on_demand_only = needed_resources(pool, now)
     sharding = pool.fleet.scheduler.sharding
     if sharding is not None:
-        total, on_demand_only = sharding.needed_capacity(pool.gpus, (total, on_demand_only))
+        total, on_demand_only = sharding.needed_capacity(pool.has_gpus, (total, on_demand_only))
     unit_sizes = (unit.cpus, unit.gpus, unit.memory_gb)
 
     def in_units(sums: list[float]) -> float:
@@ -33,7 +33,11 @@
 
 
 def needed_resources(pool: PoolView, now: float) -> tuple[list[float], list[float]]:
-    """CPUs, GPUs and GB that this shard's jobs need: all, and without spot machines."""
+    """Return the resources that the jobs of this shard need, as two lists.
+
+    Each list is ``[CPUs, GPUs, GB of memory]``: for all jobs, and for the jobs that may not
+    run on spot machines.
+    """
     total = [0.0, 0.0, 0.0]
     on_demand_only = [0.0, 0.0, 0.0]
     if pool.on_demand_type < 0:
@@ -49,16 +53,16 @@
 
 
 def _needed_tasks(pool: PoolView) -> Iterator[tuple[Job, int]]:
-    """The pool's open jobs, each with the tasks that may run at once."""
+    """Yield the pool's open jobs, each with the number of its tasks that may run at once."""
     cluster = pool.cluster
     counted = pool.fleet.scheduler.counted_resources
     caps = counted.capped_tasks(cluster.jobs.values()) if counted is not None else {}
     for job in cluster.jobs.values():
         spec = job.spec
-        if job.status != OPEN or (spec.gpus > 0) != pool.gpus:
+        if job.status != OPEN or (spec.gpus > 0) != pool.has_gpus:
             continue
-        # Tasks that wait for counted resources need no machine yet, nor do replicas that
-        # may run nowhere but in an unreachable zone.
+        # Tasks that wait for counted resources need no machine yet, and neither do replicas
+        # that may run only in an unreachable zone.
         max_tasks = min(caps.get(job.index, spec.tasks), _max_spread_tasks(pool, job))
         tasks = min(job.remaining(), max_tasks)
         limits = cluster.teams[job.team].limits
@@ -70,7 +74,7 @@
 
 
 def _max_spread_tasks(pool: PoolView, job: Job) -> int:
-    """How many of a job's tasks the reachable zones may take."""
+    """Return how many tasks of a job may run in the reachable zones."""
     if not job.spec.spread:
         return job.spec.tasks
     return pool.reachable_zones * ((job.spec.tasks + 1) // 2)
@@ -79,18 +83,22 @@
 def _add_expected_arrivals(
     pool: PoolView, now: float, total: list[float], on_demand_only: list[float]
 ) -> None:
-    """Add what will arrive while a machine boots, as much as arrived lately."""
+    """Add the resources of jobs expected to arrive while a machine boots.
+
+    The expected arrival rate is the average rate of the recent arrivals.
+    """
     operator, arrivals = pool.fleet.operator, pool.fleet.arrivals
     boot_s = pool.cluster.types[pool.on_demand_type].boot_s
-    first = min((entry[0] for entry in arrivals), default=now)
+    first_arrival = min((entry[0] for entry in arrivals), default=now)
     window_s = min(
-        operator.warm_window_s, max(now - first, operator.warm_window_s / MIN_WINDOW_DIVISOR)
+        operator.warm_window_s,
+        max(now - first_arrival, operator.warm_window_s / MIN_WINDOW_DIVISOR),
     )
-    share = boot_s * operator.headroom / window_s
-    position = GPUS if pool.gpus else CPUS
+    expected_fraction = boot_s * operator.headroom / window_s
+    resource_index = GPUS if pool.has_gpus else CPUS
     for _, cpus, gpus, spot, accepted_wait_s in arrivals:
-        # Jobs that may wait longer than machines take to boot need none in advance.
-        if (gpus > 0) == pool.gpus and accepted_wait_s < PROMPT_BOOTS * boot_s:
-            expected = (gpus if pool.gpus else cpus) * share
-            total[position] += expected
-            on_demand_only[position] += 0.0 if spot else expected
+        # A machine for a job with a longer accepted wait can be rented when the job arrives.
+        if (gpus > 0) == pool.has_gpus and accepted_wait_s < MIN_WAIT_BOOTS * boot_s:
+            expected = (gpus if pool.has_gpus else cpus) * expected_fraction
+            total[resource_index] += expected
+            on_demand_only[resource_index] += 0.0 if spot else expected
--- a/appleshift/provisioning/planner.py
+++ b/appleshift/provisioning/planner.py
@@ -1,11 +1,15 @@
-"""The capacity planner: on-demand machines above a floor, the rest as spot groups.
-
-Capacity is measured in on-demand machines (units). A plan has ``n`` on-demand machines and
-``s`` spot groups, each of one market (a type in a zone); every group alone holds the quota
-Q = (R - n) / (s - f) of the required capacity R, so that any f groups may vanish and R still
-stands. A market that has refused machines is capped at what it has given. What the groups
-then lack of R itself is made up by on-demand machines; spare capacity is only ever bought at
-spot prices.
+"""Capacity planner: finds the cheapest mix of on-demand machines and spot groups.
+
+Capacity is measured in units: one unit is the capacity of one on-demand machine. A plan has
+at least a minimum number of on-demand machines.
+
+A plan with ``n`` on-demand machines has ``s`` spot groups. A spot group consists of the spot
+machines of one market, a machine type in a zone. Each group holds Q = (R - n) / (s - f) units
+of the required capacity R, so R is still available after the loss of any ``f`` groups.
+
+A market that has refused machines is capped at the number it has provided. If the groups
+then provide less than R - n units, on-demand machines make up the difference. Spare capacity
+beyond R is bought at spot prices only.
 """
 
 from __future__ import annotations
@@ -27,12 +31,12 @@
     """Capacity of one machine, in on-demand machines."""
     price: float
     max_machines: float = math.inf
-    """How many machines it is known to give."""
+    """Most machines that the market can provide, as far as is known."""
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityPlan:
-    """A mix of on-demand machines and spot groups, and its price."""
+    """A number of on-demand machines, the spot groups, and the cost of both."""
 
     on_demand: int
     groups: tuple[tuple[SpotMarket, int], ...]
@@ -41,16 +45,22 @@
 
 
 def machines_for(capacity: float, units: float) -> int:
-    """How many machines of ``units`` each hold a capacity; ``num(c, vm)`` of the paper."""
+    """Return how many machines of ``units`` units each provide ``capacity`` units.
+
+    This is ``num(c, vm)`` of the paper.
+    """
     if capacity <= EPSILON:
         return 0
     return math.ceil(capacity / units - EPSILON)
 
 
-def highest_price(
+def break_even_price(
     required: float, on_demand: int, on_demand_price: float, groups: int, machines: int
 ) -> float:
-    """The price at which a group costs no more than on-demand machines; ``tb`` of the paper."""
+    """Return the spot price up to which a plan costs no more than on-demand machines alone.
+
+    The plan has ``groups`` groups of ``machines`` machines each. This is ``tb`` of the paper.
+    """
     if machines < 1 or groups < 1:
         return math.inf
     all_on_demand_cost = machines_for(required, 1.0) * on_demand_price
@@ -58,43 +68,52 @@
 
 
 def group_counts(current: int, others: int, spare: int, max_groups: int) -> range:
-    """How many groups a plan may have; the current ones stay."""
+    """Return the numbers of groups that a plan may have; it keeps the ``current`` groups.
+
+    ``others`` is the number of further markets, ``spare`` the number of groups that may be
+    lost at the same time.
+    """
     return range(max(current, spare + 1), min(current + others, max(max_groups, current)) + 1)
 
 
 @dataclass(frozen=True, slots=True)
-class GroupMixes:
-    """The input from which plans for a required capacity are made."""
+class CandidatePlans:
+    """Builds plans for a required capacity, given a number of on-demand machines and groups."""
 
     required: float
     on_demand_price: float
     current: list[SpotMarket]
-    """Markets of the current groups, which stay."""
+    """Markets of the current groups, which every plan keeps."""
     others: list[SpotMarket]
+    """Markets without a group."""
     spare: int
-    """How many groups may vanish while the rest holds the required capacity."""
+    """How many groups may be lost while the rest provides the required capacity."""
 
-    def quota(self, on_demand: int, count: int) -> float:
-        """The units that each of ``count`` groups holds."""
+    def group_capacity(self, on_demand: int, count: int) -> float:
+        """Return the units that each of ``count`` groups provides."""
         return max(0.0, self.required - on_demand) / (count - self.spare)
 
-    def mix(self, on_demand: int, count: int) -> CapacityPlan | None:
-        """The plan with so many on-demand machines and groups; None if too few are eligible."""
+    def plan_for(self, on_demand: int, count: int) -> CapacityPlan | None:
+        """Return the plan with ``on_demand`` machines and ``count`` groups.
+
+        Returns None if fewer than ``count`` markets are eligible. A market that is capped may
+        provide less than a group needs; further on-demand machines make up the difference.
+        """
         required, price = self.required, self.on_demand_price
-        quota = self.quota(on_demand, count)
+        group_capacity = self.group_capacity(on_demand, count)
         eligible = []
         for market in self.others:
-            machines = machines_for(quota, market.units)
-            if market.price <= highest_price(required, on_demand, price, count, machines):
+            machines = machines_for(group_capacity, market.units)
+            if market.price <= break_even_price(required, on_demand, price, count, machines):
                 eligible.append((machines * market.price, market.type_index, market.zone, market))
-        wanted = count - len(self.current)
-        if len(eligible) < wanted:
+        new_groups = count - len(self.current)
+        if len(eligible) < new_groups:
             return None
         eligible.sort(key=lambda entry: entry[:3])
         groups = []
         missing, cost = required - on_demand, on_demand * price
-        for market in [*self.current, *(entry[3] for entry in eligible[:wanted])]:
-            machines = int(min(machines_for(quota, market.units), market.max_machines))
+        for market in [*self.current, *(entry[3] for entry in eligible[:new_groups])]:
+            machines = int(min(machines_for(group_capacity, market.units), market.max_machines))
             if machines:
                 groups.append((market, machines))
             missing -= machines * market.units
@@ -102,40 +121,41 @@
         extra = machines_for(missing, 1.0)
         return CapacityPlan(on_demand + extra, tuple(groups), cost + extra * price)
 
-    def same_until(self, on_demand: int, count: int) -> int:
-        """The next number of on-demand machines at which a mix of so many groups changes.
+    def next_change(self, on_demand: int, count: int) -> int:
+        """Return the next number of on-demand machines that may give a cheaper plan.
 
-        Until a group loses a machine or a market its eligibility, one more on-demand machine
-        saves at most the one that makes up what the groups lack: no plan in between is
-        cheaper than the first.
+        A plan with ``count`` groups changes only where a group needs one machine less or a
+        market is no longer eligible. Before that, one more on-demand machine saves at most
+        one of the on-demand machines that make up for capped markets, so no plan in between
+        is cheaper than the plan for ``on_demand``.
         """
-        quota = self.quota(on_demand, count)
+        group_capacity = self.group_capacity(on_demand, count)
         changes = []
         for market in (*self.current, *self.others):
-            machines = machines_for(quota, market.units)
+            machines = machines_for(group_capacity, market.units)
             if market in self.current and machines > market.max_machines:
-                # It holds what its market gives, until the quota is below that.
+                # The group keeps all machines of its market until it needs fewer.
                 machines = int(market.max_machines) + 1
             if machines:
                 covered = (machines - 1) * market.units * (count - self.spare)
                 changes.append(self.required - covered)
         all_on_demand = machines_for(self.required, 1.0)
         for market in self.others if self.on_demand_price > 0 else ():
-            cost = machines_for(quota, market.units) * count * market.price
+            cost = machines_for(group_capacity, market.units) * count * market.price
             ineligible_from = all_on_demand - cost / self.on_demand_price
             if cost and ineligible_from >= on_demand:
                 changes.append(ineligible_from)
-        # Rounded down a little: a step too short costs time, one too long skips a plan.
+        # Round down slightly: a step that is too short costs time, but a step that is too
+        # long skips a plan.
         return max(on_demand + 1, math.ceil(min(changes, default=all_on_demand + 1) - 1e-6))
 
 
-def least_cost(
+def cost_lower_bound(
     required: float, on_demand: int, on_demand_price: float, markets: list[SpotMarket]
 ) -> float:
-    """A lower bound of the cost of plans with so many on-demand machines.
+    """Return a lower bound of the cost of all plans with ``on_demand`` on-demand machines.
 
-    Machines are not divisible and groups hold spare capacity, so a plan costs at least what
-    dividing the markets' machines freely would.
+    The bound is the cost if machines were divisible and no spare capacity were needed.
     """
     cost = on_demand * on_demand_price
     missing = max(0.0, required - on_demand)
@@ -150,34 +170,37 @@
 
 def find_plan(
     required: float,
-    floor: int,
+    min_on_demand: int,
     on_demand_price: float,
     current: list[SpotMarket],
     others: list[SpotMarket],
     spare: int,
     max_groups: int,
 ) -> CapacityPlan:
-    """The cheapest plan with at least ``floor`` on-demand machines (Algorithm 1 of the paper).
+    """Return the cheapest plan with at least ``min_on_demand`` on-demand machines.
 
-    Without an eligible mix it has on-demand machines only.
+    The plan has on-demand machines only if too few markets are eligible for spot groups.
+    This is Algorithm 1 of the paper.
     """
-    max_on_demand = max(machines_for(required, 1.0), floor)
+    max_on_demand = max(machines_for(required, 1.0), min_on_demand)
     best: CapacityPlan | None = None
     markets = [*current, *others]
-    mixes = GroupMixes(required, on_demand_price, current, others, spare)
-    # By number of groups: the next number of on-demand machines to try.
-    next_tries = dict.fromkeys(group_counts(len(current), len(others), spare, max_groups), floor)
-    on_demand = floor
-    while next_tries and on_demand <= max_on_demand:
-        lower_bound = least_cost(required, on_demand, on_demand_price, markets)
+    candidates = CandidatePlans(required, on_demand_price, current, others, spare)
+    # Number of groups -> next number of on-demand machines to try.
+    next_on_demand = dict.fromkeys(
+        group_counts(len(current), len(others), spare, max_groups), min_on_demand
+    )
+    on_demand = min_on_demand
+    while next_on_demand and on_demand <= max_on_demand:
+        lower_bound = cost_lower_bound(required, on_demand, on_demand_price, markets)
         if best is not None and best.cost <= lower_bound + EPSILON:
-            # Neither this number nor a larger one can be cheaper: the bound only grows,
-            # since an on-demand machine replaces what costs no more.
+            # No plan with this many or more on-demand machines is cheaper: the bound never
+            # falls, since each on-demand machine replaces spot capacity that costs no more.
             break
-        for count in [count for count, at in next_tries.items() if at <= on_demand]:
-            plan = mixes.mix(on_demand, count)
+        for count in [count for count, at in next_on_demand.items() if at <= on_demand]:
+            plan = candidates.plan_for(on_demand, count)
             if plan is not None and (best is None or plan.cost < best.cost - EPSILON):
                 best = plan
-            next_tries[count] = mixes.same_until(on_demand, count)
-        on_demand = min(next_tries.values())
+            next_on_demand[count] = candidates.next_change(on_demand, count)
+        on_demand = min(next_on_demand.values())
     return best or CapacityPlan(max_on_demand, (), max_on_demand * on_demand_price)
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -1,4 +1,4 @@
-"""One review of a capacity pool: plan, scale out, cover shortages, scale in."""
+"""Reviews a capacity pool: plans its capacity, scales out, covers shortages, scales in."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 
 class CapacityPool:
-    """The machines with GPUs, or those without."""
+    """All machines with GPUs, or all machines without, at one point in time."""
 
-    def __init__(self, fleet: FleetView, gpus: bool) -> None:
-        """Look at the pool's machines as they are now."""
+    def __init__(self, fleet: FleetView, has_gpus: bool) -> None:
+        """Select the machines of the pool; ``has_gpus`` selects machines with GPUs."""
         self._fleet = fleet
         self._cluster = fleet.cluster
-        self._gpus = gpus
-        self._view = PoolView(fleet, gpus)
+        self._has_gpus = has_gpus
+        self._view = PoolView(fleet, has_gpus)
 
     def units(self, machine_type: MachineType) -> float:
-        """A machine's capacity in on-demand machines, by its scarcest resource."""
+        """Return the capacity of a machine type in units; see ``PoolView.units``."""
         return self._view.units(machine_type)
 
     def needed_capacity(self, now: float) -> tuple[list[float], list[float]]:
-        """CPUs, GPUs and GB that this shard's jobs need: all, and without spot machines."""
+        """Return the resources that this shard's jobs need; see ``needed_resources``."""
         return needed_resources(self._view, now)
 
     def unplaceable_needs(self) -> list[CapacityNeed]:
-        """Needs of this shard that none of its machines can ever meet."""
+        """Return the capacity needs that no machine of this shard can meet."""
         return unplaceable_needs(self._view)
 
     def review(self, now: float) -> None:
-        """Plan the pool's capacity, then rent and return machines by the plan."""
+        """Plan the pool's capacity, then rent and return machines according to the plan."""
         view = self._view
         if view.on_demand_type < 0:
             return
@@ -53,7 +53,7 @@
             self._log_summary(required, on_demand_only)
         log.debug(
             "capacity plan gpus=%s required=%.1f on_demand_only=%.1f plan=%s",
-            self._gpus,
+            self._has_gpus,
             required,
             on_demand_only,
             plan,
@@ -63,14 +63,14 @@
         scale_in(view, plan, required, on_demand_only, now)
 
     def _record_required(self, required: float, now: float) -> None:
-        recent = self._fleet.recent_required[self._gpus]
+        recent = self._fleet.recent_required[self._has_gpus]
         recent.append((now, required))
         while recent[0][0] < now - self._fleet.operator.peak_window_s:
             recent.popleft()
 
     def _find_plan(self, required: float, on_demand_only: float, now: float) -> CapacityPlan:
         operator = self._fleet.operator
-        floor = machines_for(max(on_demand_only, required * operator.floor_share), 1.0)
+        min_on_demand = machines_for(max(on_demand_only, required * operator.floor_share), 1.0)
         current: list[SpotMarket] = []
         others: list[SpotMarket] = []
         for market in self._spot_markets(now):
@@ -78,7 +78,7 @@
             (current if chosen else others).append(market)
         return find_plan(
             required,
-            floor,
+            min_on_demand,
             self._cluster.types[self._view.on_demand_type].price,
             current,
             others,
@@ -93,7 +93,10 @@
         groups |= {(market.type_index, market.zone) for market, count in plan.groups if count}
 
     def _spot_markets(self, now: float) -> list[SpotMarket]:
-        """Where spot machines may be rented, capped where there are no more."""
+        """Return the markets for spot groups, without those evicted recently.
+
+        A market that currently accepts no rentals is capped at the machines it has provided.
+        """
         fleet, view = self._fleet, self._view
         markets = []
         for type_index in view.type_indices:
@@ -111,13 +114,13 @@
         return markets
 
     def _log_summary(self, required: float, on_demand_only: float) -> None:
-        """One line for operators: what is needed, what there is, what is used."""
+        """Log the required, available and used capacity of the pool in one line."""
         view = self._view
-        shortages = [s for s in self._fleet.shortages if (s.job.spec.gpus > 0) == self._gpus]
+        shortages = [s for s in self._fleet.shortages if (s.job.spec.gpus > 0) == self._has_gpus]
         log.info(
             "capacity pool gpus=%s required=%.1f on_demand_only=%.1f unit=%s on_demand=%.1f"
             " spot=%.1f machines=%d booting=%d used=%.1f waiting_tasks=%d waiting_jobs=%d",
-            self._gpus,
+            self._has_gpus,
             required,
             on_demand_only,
             self._cluster.type_names.names[view.on_demand_type],
@@ -134,7 +137,7 @@
         used = 0.0
         for machine in self._view.machines:
             machine_type = self._cluster.types[machine.type]
-            if self._gpus:
+            if self._has_gpus:
                 free = machine.free_gpus / machine_type.gpus
             else:
                 free = machine.free_cpus / machine_type.cpus
--- a/appleshift/provisioning/pool_view.py
+++ b/appleshift/provisioning/pool_view.py
@@ -1,4 +1,4 @@
-"""The machines of one capacity pool, with GPUs or without, and their capacity."""
+"""Machines of one capacity pool (with GPUs or without) and their capacity in units."""
 
 from __future__ import annotations
 
@@ -8,29 +8,33 @@
 from appleshift.state.states import BOOTING
 
 BOOT_LATE_FACTOR = 1.6
-"""A boot that takes more than this many times as long as usual is no capacity to count on."""
+"""A machine that boots for more than this many times the usual boot time is no capacity."""
 MIN_UNITS = 1e-6
 """Keeps ratios finite for machine types without any of a resource."""
 
 
 class PoolView:
-    """A look at one pool; capacity is measured in machines of its cheapest on-demand type."""
+    """Machines of one pool that count as capacity at the moment.
 
-    def __init__(self, fleet: FleetView, gpus: bool) -> None:
-        """``gpus`` selects the pool; its machines are those that count as capacity now."""
+    Capacity is measured in units: one unit is the capacity of an on-demand machine of the
+    pool's cheapest type.
+    """
+
+    def __init__(self, fleet: FleetView, has_gpus: bool) -> None:
+        """Select the machines; ``has_gpus`` selects the pool of machines with GPUs."""
         self.fleet = fleet
-        self.gpus = gpus
+        self.has_gpus = has_gpus
         self.cluster = cluster = fleet.cluster
         self.type_indices = [
             index
             for index, machine_type in enumerate(cluster.types)
-            if (machine_type.gpus > 0) == gpus
+            if (machine_type.gpus > 0) == has_gpus
         ]
         self.machines = [
             machine
             for machine in cluster.machines.values()
             if machine.type in self.type_indices
-            # A machine that cannot be heard is no capacity, though it may come back.
+            # Machines of an unreachable zone are no capacity, though the zone may come back.
             and fleet.zone_health.is_trusted(machine.zone)
             and not (
                 machine.deletion_requested
@@ -47,28 +51,31 @@
             key=lambda index: cluster.types[index].price / self.size(cluster.types[index]),
             default=-1,
         )
-        """Index of the unit's type: the cheapest by size; -1 in an empty pool."""
+        """Index of the machine type of a unit, the cheapest by size; -1 in an empty pool."""
 
     def size(self, machine_type: MachineType) -> float:
-        """A type's GPUs or CPUs, whichever the pool is about."""
-        return max(MIN_UNITS, machine_type.gpus if self.gpus else machine_type.cpus)
+        """Return a machine type's GPUs in the pool with GPUs, else its CPUs."""
+        return max(MIN_UNITS, machine_type.gpus if self.has_gpus else machine_type.cpus)
 
     def units(self, machine_type: MachineType) -> float:
-        """A machine's capacity in units, by its scarcest resource."""
+        """Return the capacity of a machine type in units, by its scarcest resource.
+
+        In the pool with GPUs only GPUs count.
+        """
         unit = self.cluster.types[self.on_demand_type]
         ratios = [machine_type.cpus / unit.cpus, machine_type.memory_gb / unit.memory_gb]
-        if self.gpus:
+        if self.has_gpus:
             ratios = [machine_type.gpus / unit.gpus]
         return max(MIN_UNITS, min(ratios))
 
     def is_boot_late(self, machine: Machine) -> bool:
-        """Whether a boot takes so long that its machine no longer counts as capacity."""
+        """Whether a machine has been booting for too long to count as capacity."""
         boot_s = self.cluster.types[machine.type].boot_s
         booting_s = self.fleet.scheduler.now - machine.rented_at
         return machine.status == BOOTING and booting_s > boot_s * BOOT_LATE_FACTOR
 
     def capacity(self, spot: bool) -> float:
-        """Units that are there or will be, spot or on demand."""
+        """Return the units of spot or on-demand machines, pending rentals included."""
         total = 0.0
         for machine in self.machines:
             if machine.spot == spot and not self.is_boot_late(machine):
@@ -83,7 +90,7 @@
         )
 
     def spot_machines(self, type_index: int, zone: int) -> int:
-        """Spot machines of a market, pending rentals included."""
+        """Return the number of spot machines of a market, pending rentals included."""
         rented = sum(1 for m in self.machines if m.spot and (m.type, m.zone) == (type_index, zone))
         return rented + sum(
             count
--- a/appleshift/provisioning/scale_in.py
+++ b/appleshift/provisioning/scale_in.py
@@ -1,4 +1,4 @@
-"""Returning idle machines that the capacity plan does without."""
+"""Scale-in: returns idle machines that the capacity plan does not need."""
 
 from __future__ import annotations
 
@@ -14,52 +14,57 @@
 
 
 class SpareCapacity:
-    """What the plan does without; chosen machines are subtracted from it."""
+    """Capacity beyond the plan, and the idle machines chosen to be returned for it."""
 
     def __init__(
         self, pool: PoolView, plan: CapacityPlan, required: float, on_demand_only: float
     ) -> None:
-        """``required`` and the part that may not be spot machines are in units."""
+        """Calculate the spare capacity of ``pool`` in units.
+
+        ``required`` and ``on_demand_only``, the part of it that may not be spot machines, are
+        in units.
+        """
         self._pool = pool
-        self._wanted = {(market.type_index, market.zone): count for market, count in plan.groups}
+        self._planned = {(market.type_index, market.zone): count for market, count in plan.groups}
         on_demand, spot = pool.capacity(False), pool.capacity(True)
-        self._on_demand = on_demand - max(on_demand_only, required - spot)
-        self._total = on_demand + spot - required
+        self._spare_on_demand = on_demand - max(on_demand_only, required - spot)
+        self._spare_total = on_demand + spot - required
         self.chosen: list[Machine] = []
         """Machines to return."""
 
     def choose(self, machine: Machine) -> None:
-        """Return this machine if there is enough capacity without it."""
+        """Choose a machine to be returned if the plan is met without it."""
         units = self._pool.units(self._pool.cluster.types[machine.type])
         if machine.spot:
-            if self._is_wanted(machine) or self._total < units:
+            if self._is_planned(machine) or self._spare_total < units:
                 return
-        elif self._on_demand < units:
+        elif self._spare_on_demand < units:
             return
         else:
-            self._on_demand -= units
-        self._total -= units
+            self._spare_on_demand -= units
+        self._spare_total -= units
         self.chosen.append(machine)
 
-    def _is_wanted(self, machine: Machine) -> bool:
-        """Whether the spot group of a machine's market needs it."""
+    def _is_planned(self, machine: Machine) -> bool:
+        """Whether the plan's spot group of a machine's market needs the machine."""
         market = (machine.type, machine.zone)
         chosen = sum(1 for m in self.chosen if m.spot and (m.type, m.zone) == market)
-        return self._pool.spot_machines(*market) - chosen <= self._wanted.get(market, 0)
+        return self._pool.spot_machines(*market) - chosen <= self._planned.get(market, 0)
 
 
 def scale_in(
     pool: PoolView, plan: CapacityPlan, required: float, on_demand_only: float, now: float
 ) -> None:
-    """Return idle machines that the plan does without, the most expensive first.
+    """Return idle machines that the plan does not need, the most expensive first.
 
-    ``required`` and ``on_demand_only``, the part that may not be spot machines, are in units.
+    ``required`` and ``on_demand_only``, the part of it that may not be spot machines, are in
+    units.
     """
     fleet = pool.fleet
-    fleet.on_demand_spare[pool.gpus] = 0.0
+    fleet.on_demand_spare[pool.has_gpus] = 0.0
     if fleet.pending_rentals:
         return
-    if pool.gpus and any(shortage.job.spec.gpus > 0 for shortage in fleet.shortages):
+    if pool.has_gpus and any(shortage.job.spec.gpus > 0 for shortage in fleet.shortages):
         return
     spare = SpareCapacity(pool, plan, required, on_demand_only)
     for machine in _idle_machines(pool):
@@ -84,22 +89,24 @@
     if machine.spot:
         limit_s = operator.idle_spot_s
     else:
-        limit_s = operator.idle_cards_s if pool.gpus else operator.idle_steady_s
-    # A machine that is rented again costs its boot: to wait idle for as long as that never
-    # costs more than twice the best decision in hindsight.
+        limit_s = operator.idle_cards_s if pool.has_gpus else operator.idle_steady_s
+    # A machine that is returned and rented again costs its boot time. Keeping it idle for one
+    # boot time never costs more than twice the best decision in hindsight.
     return max(limit_s, pool.cluster.types[machine.type].boot_s)
 
 
 def _record_spare(pool: PoolView, required: float, on_demand_only: float) -> None:
-    """Record the on-demand capacity that may be consolidated."""
-    # Bursts come back: what one needed a moment ago is not to spare.
-    peak = max((amount for _, amount in pool.fleet.recent_required[pool.gpus]), default=required)
+    """Record the spare on-demand capacity that consolidation may empty."""
+    # Bursts of demand recur, so capacity needed by a recent peak is not spare.
+    peak = max(
+        (amount for _, amount in pool.fleet.recent_required[pool.has_gpus]), default=required
+    )
     needed = max(on_demand_only, peak - pool.capacity(True))
-    pool.fleet.on_demand_spare[pool.gpus] = pool.capacity(False) - needed
+    pool.fleet.on_demand_spare[pool.has_gpus] = pool.capacity(False) - needed
 
 
 def _return_machines(pool: PoolView, machines: list[Machine]) -> None:
-    """Delete machines, or let the shards do it that own them."""
+    """Delete this shard's machines; pass the others to the shards that own them."""
     scheduler = pool.fleet.scheduler
     for machine in machines:
         log.info("returning idle machine machine=%s", machine.name)
--- a/appleshift/provisioning/scale_out.py
+++ b/appleshift/provisioning/scale_out.py
@@ -1,4 +1,4 @@
-"""Renting what the capacity plan lacks."""
+"""Scale-out: rents the machines that the capacity plan still lacks."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 def scale_out(pool: PoolView, plan: CapacityPlan, required: float, on_demand_only: float) -> None:
-    """Rent spot groups, then on-demand machines, then whatever spot machines there are.
+    """Rent machines of the spot groups, then on-demand machines, then any spot machines.
 
-    ``required`` and ``on_demand_only``, the part that may not be spot machines, are in units.
+    ``required`` and ``on_demand_only``, the part of it that may not be spot machines, are in
+    units.
     """
     _rent_groups(pool, plan)
     on_demand = pool.capacity(False)
@@ -26,17 +27,17 @@
     missing = min(missing, required - on_demand_only - pool.capacity(True))
     if missing <= EPSILON:
         return
-    # There are no on-demand machines: spot machines of any type are better than none, for
-    # tasks that may use them.
+    # No more on-demand machines are available. Tasks that may use spot machines get them, of
+    # any type.
     missing = _rent_types(pool, type_indices, True, missing)
-    if missing > EPSILON and not pool.gpus:
+    if missing > EPSILON and not pool.has_gpus:
         rent_unclaimed(pool.fleet, pool.on_demand_type, missing)
 
 
 def _rent_groups(pool: PoolView, plan: CapacityPlan) -> None:
-    """Rent what the plan's spot groups lack."""
+    """Rent the machines that the plan's spot groups lack."""
     fleet = pool.fleet
-    # Spot machines outside any group count before anything is rented.
+    # Spot machines outside all groups count towards the groups before more are rented.
     outside_groups = sum(
         pool.units(pool.cluster.types[m.type])
         for m in pool.machines
@@ -52,19 +53,25 @@
 
 
 def _types_by_preference(pool: PoolView) -> list[int]:
-    """The pool's types, the cheapest by size first; the largest if machines are limited."""
+    """Return the pool's machine types, the cheapest by size first.
+
+    If the number of machines is limited, the largest type is first.
+    """
     crowded = pool.fleet.is_crowded()
 
     def cost(type_index: int) -> float:
         machine_type = pool.cluster.types[type_index]
-        # Each machine takes a connection: of few connections, large machines make more.
+        # Each machine uses a connection, so large machines give more capacity per connection.
         return -pool.size(machine_type) if crowded else machine_type.price / pool.size(machine_type)
 
     return sorted(pool.type_indices, key=cost)
 
 
 def _rent_types(pool: PoolView, type_indices: list[int], spot: bool, missing: float) -> float:
-    """Rent machines of one type after the other until no units are missing; returns the rest."""
+    """Rent machines of one type after the other until ``missing`` units are rented.
+
+    Returns the units that could not be rented.
+    """
     for type_index in type_indices:
         if missing <= EPSILON:
             break
@@ -74,7 +81,11 @@
 
 
 def _rent_spread(pool: PoolView, type_index: int, spot: bool, count: int) -> int:
-    """Rent in the zones that have least capacity, as far as none refuses; returns how many."""
+    """Rent machines of one type in the zones with the least capacity.
+
+    Zones whose market accepts no rentals at present are left out. Returns the number of
+    machines requested.
+    """
     fleet, cluster = pool.fleet, pool.cluster
     zones = [cluster.zones.get(name) for name in cluster.types[type_index].zones]
     open_zones = [zone for zone in zones if zone >= 0 and fleet.may_rent(type_index, zone, spot)]
--- a/appleshift/provisioning/shortages.py
+++ b/appleshift/provisioning/shortages.py
@@ -1,4 +1,4 @@
-"""Renting for tasks that the capacity there is can never take."""
+"""Rents machines for tasks that can never run on the existing machines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def capacity_need_for(cluster: ClusterState, shortage: Shortage) -> CapacityNeed:
-    """What tasks that found no room need, and where it may be."""
+    """Return the resources that the tasks of a shortage need, and the types and zones allowed."""
     job, spec = shortage.job, shortage.job.spec
     remaining = remaining_per_zone(cluster, job)
     zones = [
@@ -28,7 +28,7 @@
 
 
 def unplaceable_needs(pool: PoolView) -> list[CapacityNeed]:
-    """Needs of this shard that none of its machines can ever meet."""
+    """Return the needs of this shard that none of its machines that are up can ever meet."""
     cluster = pool.cluster
     markets_up = {
         (m.type, m.zone, m.spot) for m in pool.machines if m.status == UP and not m.in_other_shard
@@ -36,72 +36,77 @@
     needs = []
     for shortage in pool.fleet.shortages:
         job = shortage.job
-        if job.status != OPEN or (job.spec.gpus > 0) != pool.gpus:
+        if job.status != OPEN or (job.spec.gpus > 0) != pool.has_gpus:
             continue
         need = capacity_need_for(cluster, shortage)
-        # Other tasks than replicas may wait for what is running to end.
+        # Tasks that are not replicas may wait for running tasks to end.
         if job.service or not any(_may_use(need, *market) for market in markets_up):
             needs.append(need)
     return needs
 
 
 def cover_shortages(pool: PoolView) -> None:
-    """Rent for needs that the capacity there is can never meet.
+    """Rent machines for needs that the existing machines can never meet.
 
-    The required capacity says how much is needed, not where: a job bound to a zone or a
-    type, or replicas that must be spread, may find no room although there is enough in all.
-    Other tasks may wait for what is running to end; replicas cannot, for nothing that runs
-    beside them need ever end.
+    The required capacity is a total without types or zones. A job that is bound to a zone or a
+    machine type, and replicas that must be spread, may not fit although the total capacity
+    is sufficient. Other tasks wait for running tasks to end, but replicas cannot: the tasks
+    beside them may never end.
     """
-    coming = _coming_machines(pool)
+    incoming = _incoming_machines(pool)
     sharding = pool.fleet.scheduler.sharding
-    needs_of_others = [] if sharding is None else sharding.unplaceable_needs(pool.gpus)
-    for need in [*unplaceable_needs(pool), *needs_of_others]:
-        missing = _uncovered_tasks(pool, need, coming)
+    other_shards_needs = [] if sharding is None else sharding.unplaceable_needs(pool.has_gpus)
+    for need in [*unplaceable_needs(pool), *other_shards_needs]:
+        missing = _uncovered_tasks(pool, need, incoming)
         if missing > 0:
             _rent_for(pool, need, missing)
 
 
-def _coming_machines(pool: PoolView) -> Counter[tuple[int, int, bool]]:
-    """Machines that boot or are being rented, by (type, zone, spot)."""
-    coming: Counter[tuple[int, int, bool]] = Counter(
+def _incoming_machines(pool: PoolView) -> Counter[tuple[int, int, bool]]:
+    """Count the machines that boot or are being rented, by (type, zone, spot)."""
+    incoming: Counter[tuple[int, int, bool]] = Counter(
         (m.type, m.zone, m.spot)
         for m in pool.machines
         if m.status == BOOTING and not pool.is_boot_late(m)
     )
     for type_index, zone, spot, count in pool.fleet.pending_rentals.values():
-        coming[type_index, zone, spot] += count
-    return coming
+        incoming[type_index, zone, spot] += count
+    return incoming
 
 
 def _uncovered_tasks(
-    pool: PoolView, need: CapacityNeed, coming: Counter[tuple[int, int, bool]]
+    pool: PoolView, need: CapacityNeed, incoming: Counter[tuple[int, int, bool]]
 ) -> int:
-    """Reserve room for a need on machines that are coming; returns the tasks left without."""
+    """Reserve machines that boot or are being rented for a need.
+
+    Subtracts the reserved machines from ``incoming`` and returns the number of tasks that are
+    still without a machine.
+    """
     missing = need.tasks
-    for market, count in coming.items():
+    for market, count in incoming.items():
         if missing <= 0:
             break
         if count and _may_use(need, *market):
             fit = _tasks_per_machine(pool, market[0], need)
             used = min(count, -(-missing // max(1, fit)) * need.spread_by)
-            coming[market] -= used
+            incoming[market] -= used
             missing -= used * fit // need.spread_by
     return missing
 
 
 def _may_use(need: CapacityNeed, type_index: int, zone: int, spot: bool) -> bool:
+    """Whether the tasks of a need may run on machines of a market."""
     return need.eligible_types[type_index] and zone in need.zones and need.spot >= spot
 
 
 def _tasks_per_machine(pool: PoolView, type_index: int, need: CapacityNeed) -> int:
-    """How many of a need's tasks an empty machine of a type takes."""
+    """Return how many tasks of a need fit on an empty machine of a type."""
     machine_type = pool.cluster.types[type_index]
     return tasks_that_fit(machine_type.cpus, machine_type.gpus, machine_type.memory_gb, need)
 
 
 def _rent_for(pool: PoolView, need: CapacityNeed, tasks: int) -> None:
-    """Rent the cheapest machines on which these tasks may run."""
+    """Rent the cheapest machines on which ``tasks`` tasks of a need may run."""
     fleet, cluster = pool.fleet, pool.cluster
 
     def machines(type_index: int) -> int:
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -1,9 +1,9 @@
-"""Spot machines with GPUs that no GPU job may use, rented for other jobs.
+"""Rents spot machines with GPUs for jobs without GPUs, if no GPU job may use them.
 
-Where no job class with GPUs may run on spot machines, nobody rents those. They are expensive
-for jobs without GPUs, but when every market without GPUs has refused, what waits misses its
-deadline beside machines that nobody else wants. So they are rented for tasks that end, and
-returned when idle like any other.
+If no job class with GPUs may run on spot machines, spot machines with GPUs stay unused. They
+are expensive for jobs without GPUs. But when every market without GPUs has refused, waiting
+jobs would miss their deadlines while these machines are available. So they are rented for
+tasks that end, and returned when idle like any other machine.
 """
 
 from __future__ import annotations
@@ -14,14 +14,15 @@
 from appleshift.state.cluster_state import ClusterState
 
 MAX_PRICE_RATIO = 2.0
-"""Of the price per CPU of the cheapest on-demand machine. Operators reckon that work which
-is long overdue is bought elsewhere for twice its cost: beyond that, waiting is cheaper."""
+"""Highest price per CPU, as a multiple of that of the cheapest on-demand machine. Operators
+estimate that work which is long overdue is bought elsewhere for twice its cost, so at a higher
+price it is cheaper to wait."""
 
 
 def rent_unclaimed(fleet: FleetView, on_demand_type: int, missing: float) -> None:
-    """Rent for missing capacity once no market without GPUs has any machines.
+    """Rent spot machines with GPUs once no market without GPUs has any machines left.
 
-    ``missing`` is in machines of ``on_demand_type``, a type without GPUs.
+    ``missing`` is the missing capacity in machines of ``on_demand_type``, a type without GPUs.
     """
     cluster = fleet.cluster
     if fleet.scheduler.sharding is not None or not cluster.spot_gpus_unclaimed():
@@ -53,7 +54,7 @@
 
 
 def _affordable_types(cluster: ClusterState, max_price_per_cpu: float) -> list[int]:
-    """Types with GPUs, the cheapest per CPU first."""
+    """Return the types with GPUs up to a spot price per CPU, the cheapest per CPU first."""
     offers = sorted(
         (machine_type.spot_price / machine_type.cpus, type_index)
         for type_index, machine_type in enumerate(cluster.types)
@@ -65,7 +66,7 @@
 
 
 def _spot_machines(fleet: FleetView, type_index: int) -> int:
-    """Spot machines of a type in all zones, pending rentals included."""
+    """Return the number of spot machines of a type in all zones, pending rentals included."""
     rented = sum(
         1
         for machine in fleet.cluster.machines.values()
@@ -79,7 +80,7 @@
 
 
 def _rent_in_all_zones(fleet: FleetView, type_index: int, count: int) -> None:
-    """Rent spot machines of a type, in as many zones as it takes."""
+    """Rent ``count`` spot machines of a type, one zone after the other."""
     for name in fleet.cluster.types[type_index].zones:
         zone = fleet.cluster.zones.get(name)
         if count > 0 and zone >= 0 and fleet.may_rent(type_index, zone, True):
