--- a/appleshift/machines/__init__.py
+++ b/appleshift/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The machines of a shard: adoption, liveness, health, rentals and deletion."""
+"""Machines of a shard: adoption, liveness, health, rentals and deletion."""
--- a/appleshift/machines/boot_monitor.py
+++ b/appleshift/machines/boot_monitor.py
@@ -1,4 +1,4 @@
-"""Gives up machines that do not boot in time."""
+"""Deletes machines that do not boot in time."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from appleshift.state.entities import Machine
 
 BOOT_MARGIN_S = 5.0
-"""Added to the boot time that operators accept, in seconds."""
-BOOT_PROBES = 2
-"""Probes that a late boot leaves unanswered before it is given up."""
+"""Added to the longest accepted boot time, in seconds."""
+MAX_UNANSWERED_PROBES = 2
+"""Unanswered probes after which a machine that boots late is deleted."""
 
 
 class BootMonitor:
-    """Deletes machines whose boot is late, unless they may be up and unheard."""
+    """Deletes machines that boot late, unless they may be up without a connection to a node."""
 
     def __init__(self, fleet: FleetView, health: MachineHealth) -> None:
-        """Watch the boots of ``fleet``; ``health`` knows the unreachable zones."""
+        """Monitor the boots of ``fleet``; ``health`` provides the unreachable zones."""
         self._fleet = fleet
         self._health = health
 
     def check(self, machine: Machine, now: float) -> None:
-        """Probe a machine whose boot is late, then delete it if it does not answer."""
+        """Probe a machine that boots late, then delete it if it leaves probes unanswered."""
         boot_s = self._fleet.cluster.types[machine.type].boot_s
-        patience_s = boot_s * self._fleet.operator.boot_patience + BOOT_MARGIN_S
-        if now - machine.rented_at <= patience_s:
+        timeout_s = boot_s * self._fleet.operator.boot_patience + BOOT_MARGIN_S
+        if now - machine.rented_at <= timeout_s:
             return
         if machine.zone in self._health.unreachable_zones:
             return
-        if machine.listed_addr and machine.unanswered_probes < BOOT_PROBES:
-            # All connections of the nodes may be in use, so that its heartbeats do not
-            # arrive. The answer to a probe says that it is up.
+        if machine.listed_addr and machine.unanswered_probes < MAX_UNANSWERED_PROBES:
+            # If all connections of the nodes are in use, heartbeats of the machine do not
+            # arrive. The answer to a probe shows that it is up.
             if not machine.probe_in_flight:
                 machine.probe_in_flight = True
                 self._fleet.scheduler.actions.append(
--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -1,11 +1,11 @@
-"""Reconciles the known machines with the cloud's listing, which lags behind."""
+"""Reconciles a shard's machines with the cloud's listing, which lags behind."""
 
 from __future__ import annotations
 
 import logging
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.machines.shard_ownership import mark_shard, may_delete
+from appleshift.machines.shard_ownership import update_shard_ownership, may_delete
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine
 from appleshift.state.entities import Machine
@@ -13,16 +13,17 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_AGE_LAGS = 2
-"""A machine heard within this many listing lags exists whatever a listing says."""
+"""A machine heard within this many listing lags exists, even if a listing lacks it."""
 MIN_AGE_LAGS = 4
+"""Age, in listing lags, up to which a machine may still be missing in a listing."""
 MIN_AGE_MARGIN_S = 10.0
-"""A listing says nothing of machines younger than that many lags and these seconds."""
+"""Added to the age above, in seconds."""
 MISSING_LAGS = 3
-"""How many lags after it was first listed a missing machine counts as gone."""
+"""A missing machine counts as gone this many listing lags after it was first listed."""
 
 
 class CloudInventory:
-    """Handles listings of the cloud, each old and perhaps older than the one before."""
+    """Applies listings of the cloud, which are outdated and may arrive out of order."""
 
     def __init__(self, fleet: FleetView) -> None:
         """Reconcile the machines of ``fleet``."""
@@ -31,9 +32,10 @@
         self._cluster = fleet.cluster
 
     def reconcile(self, rows: list[ListedMachine], complete: bool) -> None:
-        """Take in a listing.
+        """Add, update and delete machines according to a listing.
 
-        Only a ``complete`` one, of which every row could be read, proves what is not in it.
+        Only a ``complete`` listing, of which every row could be read, proves that machines
+        missing in it are gone.
         """
         listed_names = set()
         for row in rows:
@@ -47,9 +49,10 @@
             self._delete_missing(listed_names)
 
     def _add(self, row: ListedMachine) -> Machine | None:
-        """Add a machine that only the cloud knows; None if it was deleted or is of no known type.
+        """Add a machine that was found in a listing.
 
-        Until it sends heartbeats it holds a lease that an earlier leader may have given it.
+        Returns None if the machine was deleted or its type is unknown. Until the machine sends
+        heartbeats, it is assumed to hold a lease granted by an earlier leader.
         """
         if row.name in self._cluster.deleted_machines:
             return None
@@ -58,15 +61,16 @@
             return None
         now = self._scheduler.now
         log.info("machine found in cloud listing machine=%s", row.name)
-        mark_shard(self._scheduler, machine)
+        update_shard_ownership(self._scheduler, machine)
         machine.rented_at = now - row.age_s
         machine.idle_since = now
         machine.lease_until = now + self._scheduler.worker_lease_s
         return machine
 
     def _update(self, machine: Machine, row: ListedMachine) -> None:
+        """Update a machine from its row; delete it if the row reports it as failed."""
         now = self._scheduler.now
-        # Before its first heartbeat the machine can be probed at this address.
+        # This address is used to probe the machine before its first heartbeat.
         machine.listed_addr = row.addr or machine.listed_addr
         if machine.listed_at is None:
             machine.listed_at = now
@@ -77,7 +81,7 @@
             self._fleet.delete(machine, "failed")
 
     def _delete_missing(self, listed_names: set[str]) -> None:
-        """Delete the machines that a complete listing should contain and does not."""
+        """Delete the machines that should be in a complete listing but are missing."""
         now = self._scheduler.now
         lag_s = self._scheduler.settings.deployment.cloud.list_lag_s
         for machine in list(self._cluster.machines.values()):
@@ -85,12 +89,12 @@
                 continue
             if not may_delete(machine):
                 continue
-            heard_lately = machine.last_heard > now - HEARTBEAT_AGE_LAGS * lag_s
+            heard_recently = machine.last_heard > now - HEARTBEAT_AGE_LAGS * lag_s
             old = now - machine.rented_at > MIN_AGE_LAGS * lag_s + MIN_AGE_MARGIN_S
-            if heard_lately or not old:
+            if heard_recently or not old:
                 continue
-            # The cloud took it, or never had it. Deleting a name that the cloud does not
-            # know is harmless, and the answer is the proof that its tasks are gone.
+            # The cloud has reclaimed the machine, or it never existed. Deleting an unknown
+            # name is harmless, and the response proves that the machine's tasks are gone.
             if machine.listed_at is None or now - machine.listed_at > MISSING_LAGS * lag_s:
                 self._fleet.evict_group(machine)
                 self._fleet.delete(machine, "no longer listed")
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -1,4 +1,4 @@
-"""All machines of a shard, as the scheduler, the planner and other shards see them."""
+"""Interface to all machines of a shard, used by the scheduler, capacity planning and sharding."""
 
 from __future__ import annotations
 
@@ -28,32 +28,32 @@
 
 
 class Fleet:
-    """Part of the scheduler: shares its state, clock and actions.
+    """Manages the machines of a shard, as a part of the scheduler.
 
-    It joins the concerns that have modules of their own: rentals, spot groups, the cloud's
-    listing, boots, health, consolidation and the capacity plan.
+    It uses the scheduler's state, clock and actions. Rentals, spot groups, cloud listings,
+    boots, health, consolidation and the capacity plan are delegated to separate modules.
     """
 
     def __init__(self, scheduler: SchedulerView, groups: Any) -> None:
-        """Start a term; ``groups`` are the spot groups that the log names."""
+        """Start a term; ``groups`` are the spot group names recovered from the write-ahead log."""
         self.scheduler = scheduler
         self.cluster = scheduler.cluster
         self.operator = scheduler.operator
-        # Of several shards only the leader's rents, for all of them.
-        self.is_provisioning = scheduler.sharding is None or scheduler.sharding.shard == 0
+        # With several shards, only shard 0 plans capacity and rents machines, for all shards.
+        self.plans_capacity = scheduler.sharding is None or scheduler.sharding.shard == 0
         self.shortages: list[Shortage] = []
-        # Jobs that arrived lately, of classes with an objective for their wait, as
+        # Recent jobs of classes with a wait objective, as
         # (time, CPUs, GPUs, may use spot, accepted wait in seconds).
         self.arrivals: deque[tuple[float, float, float, bool, float]] = deque()
         self.next_summary = scheduler.now
-        # By pool (with GPUs or without): on-demand capacity that is not needed.
+        # Pool (whether with GPUs) -> on-demand capacity that is not needed, in units.
         self.on_demand_spare: dict[bool, float] = {}
-        # By pool: the capacity required lately, as (time, capacity).
+        # Pool (whether with GPUs) -> recently required capacity as (time, units).
         self.recent_required: dict[bool, deque[tuple[float, float]]] = {
             False: deque(),
             True: deque(),
         }
-        # By machine type; valid as long as prices stay.
+        # Machine type -> capacity in units; cleared when types or prices change.
         self._units_by_type: dict[int, float] = {}
         self._spot_groups = SpotGroups(scheduler, groups)
         self.spot_groups = self._spot_groups.markets
@@ -63,8 +63,8 @@
         self._rentals = Rentals(scheduler, self.health)
         self.pending_rentals = self._rentals.pending
         self._inventory = CloudInventory(self)
-        self._boots = BootMonitor(self, self.health)
-        self._review = PlanReview(self)
+        self._boot_monitor = BootMonitor(self, self.health)
+        self._plan_review = PlanReview(self)
 
     @property
     def zone_health(self) -> ZoneHealth:
@@ -73,33 +73,33 @@
 
     @property
     def next_review(self) -> float:
-        """When the capacity plan is reviewed next, by the scheduler's clock."""
-        return self._review.next_review
+        """Time of the next review of the capacity plan, by the scheduler's clock."""
+        return self._plan_review.next_review
 
     @next_review.setter
     def next_review(self, at: float) -> None:
-        self._review.next_review = at
+        self._plan_review.next_review = at
 
     @property
     def listing_received(self) -> bool:
-        """Whether the cloud's machines were listed in this term."""
-        return self._review.listing_received
+        """Whether a cloud listing has arrived in this term."""
+        return self._plan_review.listing_received
 
     @listing_received.setter
     def listing_received(self, received: bool) -> None:
-        self._review.listing_received = received
+        self._plan_review.listing_received = received
 
     # -- machine types and demand -------------------------------------------------------
 
     def set_machine_types(self, types: list[MachineType]) -> None:
-        """Take over the types and prices that the cloud offers."""
+        """Set the machine types and prices that the cloud offers."""
         self._units_by_type.clear()
         if self.cluster.set_types(types):
             self.scheduler.append_records(records.machine_type_records(self.cluster.types))
             self.scheduler.placement_needed = True
 
     def job_arrived(self, spec: Submission, at: float) -> None:
-        """Count a job as demand to scale out ahead for, if its class has an objective."""
+        """Record a job's demand for scaling out in advance, if its class has a wait objective."""
         accepted_wait_s = self.scheduler.objectives.wait_s(spec.job_class)
         if accepted_wait_s is not None:
             counted = self.cluster.counted_resources
@@ -108,10 +108,11 @@
             self.arrivals.append((at, cpus, gpus, spec.spot, accepted_wait_s))
 
     def capacity_units(self, machine: Machine) -> float:
-        """A machine's capacity in on-demand machines of its pool.
+        """Return a machine's capacity in on-demand machines of its pool.
 
-        Cached by type: a pool looks at all machines when it is made, and making one for
-        each machine asked about took most of a review of 1,800 machines.
+        The result is cached by machine type. ``CapacityPool`` iterates over all machines when
+        it is created; without the cache, creating one per machine took most of the time of a
+        review with 1,800 machines.
         """
         units = self._units_by_type.get(machine.type)
         if units is None:
@@ -125,8 +126,9 @@
     def adopt(self, heartbeat: Heartbeat) -> Machine | None:
         """Add an unknown machine that sends heartbeats.
 
-        It was rented late, or by an earlier leader. None if it was deleted, has no address
-        or belongs to another shard.
+        Such a machine was rented by an earlier leader, or the response to its rental is late
+        or lost. Returns None if the machine was deleted, has no address or belongs to another
+        shard.
         """
         if heartbeat.machine in self.cluster.deleted_machines or not heartbeat.addr:
             return None
@@ -143,7 +145,7 @@
         return machine
 
     def heartbeat_received(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """Note that a machine is up, at which address, and whether it is reclaimed."""
+        """Record from a heartbeat that a machine is up, its address and an announced reclaim."""
         if machine.status == BOOTING or machine.addr != heartbeat.addr:
             machine.status = UP
             machine.addr = heartbeat.addr
@@ -154,7 +156,7 @@
             self._reclaim_announced(machine, heartbeat.reclaim_in_s)
 
     def _reclaim_announced(self, machine: Machine, reclaim_in_s: float) -> None:
-        """Drain a machine that the cloud takes back in so many seconds."""
+        """Drain a machine that the cloud reclaims in ``reclaim_in_s`` seconds."""
         self.scheduler.placement_needed = True
         if not machine.draining:
             log.info(
@@ -170,61 +172,62 @@
     # -- spot groups --------------------------------------------------------------------
 
     def spot_group_names(self) -> list[str]:
-        """The chosen spot groups as sorted ``type@zone`` names."""
+        """Return the chosen spot groups as sorted ``type@zone`` names."""
         return self._spot_groups.names()
 
     def evict_group(self, machine: Machine) -> None:
         """Evict the spot group of a machine that was reclaimed or lost.
 
-        The group's other machines stay, outside any group.
+        The group's other machines are kept, but belong to no group. Does nothing for
+        on-demand machines.
         """
         if not machine.spot:
             return
-        if not self.is_provisioning and self.scheduler.sharding is not None:
-            # The leader's plan has the groups.
+        if not self.plans_capacity and self.scheduler.sharding is not None:
+            # The spot groups are part of shard 0's capacity plan.
             self.scheduler.sharding.machine_evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
 
     def evict_market(self, market: tuple[int, int]) -> None:
-        """Drop the spot group of a (type, zone) market and leave it out of plans for a while."""
+        """Remove the group of a (type, zone) market; see ``SpotGroups.evict``."""
         self._spot_groups.evict(market)
 
     # -- deletion -----------------------------------------------------------------------
 
     def delete(self, machine: Machine, reason: str) -> None:
-        """Delete a machine with whatever runs on it; the cloud's answer proves it gone."""
+        """Delete a machine and its tasks; the cloud's response proves that they are gone."""
         if machine.deletion_requested:
             return
         log.info('deleting machine machine=%s reason="%s"', machine.name, reason)
         self.scheduler.delete_machines([machine])
 
     def machine_deleted(self, machine: Machine) -> None:
-        """The cloud confirmed a deletion."""
+        """Evict the spot group of a machine that was deleted after a reclaim was announced."""
         if machine.spot and machine.reclaim_at is not None:
             self.evict_group(machine)
 
-    # -- the cloud's answers ------------------------------------------------------------
+    # -- responses of the cloud ---------------------------------------------------------
 
     def machines_listed(self, rows: list[ListedMachine], complete: bool) -> None:
-        """Reconcile the machines with a listing; see ``CloudInventory.reconcile``."""
+        """Reconcile the machines with a cloud listing; see ``CloudInventory.reconcile``."""
         self.listing_received = True
         self._inventory.reconcile(rows, complete)
 
     def rental_answered(self, request: str, names: list[str] | None, refused: bool) -> None:
-        """Handle the answer to a rental; ``names`` is None if none came."""
-        if self._rentals.answered(request, names, refused):
+        """Process the response to a rental; ``names`` is None if there was no response."""
+        if self._rentals.process_response(request, names, refused):
             self.next_review = min(self.next_review, self.scheduler.now)
 
     # -- rentals ------------------------------------------------------------------------
 
     @property
     def max_machines(self) -> int:
-        """How many machines all nodes together can serve."""
+        """Largest number of machines that all nodes together can serve."""
         return self._rentals.max_machines
 
     def set_max_machines(self, machines: int) -> None:
-        """Set how many machines all nodes together can serve."""
+        """Set the machine limit; see ``Rentals.set_max_machines``."""
         self._rentals.set_max_machines(machines)
 
     def is_crowded(self) -> bool:
@@ -232,42 +235,45 @@
         return self._rentals.is_crowded()
 
     def accepts_rentals(self, type_index: int, zone: int, spot: bool) -> bool:
-        """Whether a market has not refused lately and its machines could be heard."""
+        """Whether a market accepts rentals; see ``Rentals.accepts_rentals``."""
         return self._rentals.accepts_rentals(type_index, zone, spot)
 
     def is_exhausted(self, type_index: int, zone: int, spot: bool) -> bool:
-        """Whether a market, when last asked, had fewer machines than were requested."""
+        """Whether a market had fewer machines than the last rental requested."""
         return self._rentals.is_exhausted(type_index, zone, spot)
 
     def may_rent(self, type_index: int, zone: int, spot: bool) -> bool:
-        """Whether to ask a market now; see ``Rentals.may_rent``."""
+        """Whether a rental may be sent to a market now; see ``Rentals.may_rent``."""
         return self._rentals.may_rent(type_index, zone, spot)
 
     def rent(self, type_index: int, zone: int, spot: bool, count: int) -> None:
-        """Request up to ``count`` machines of a market, within all limits."""
+        """Request up to ``count`` machines of a market; see ``Rentals.rent``."""
         self._rentals.rent(type_index, zone, spot, count)
 
     # -- ticks --------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Check every machine, then scale in or out by the plan."""
+        """Check all machines, then consolidate and review the capacity plan if due."""
         self.health.check(now)
         self._check_machines(now)
         if not self.cluster.types or not self.scheduler.lease.may_write(now):
             return
         self.consolidation.step(now)
-        if self.is_provisioning and self._review.step(now):
+        if self.plans_capacity and self._plan_review.step(now):
             self._spot_groups.write_changes(now)
 
     def _check_machines(self, now: float) -> None:
-        """Retry deletions, give up late boots and drop what is quarantined and empty."""
+        """Retry deletions; delete machines that boot late or are quarantined and empty.
+
+        Also stops tasks in time before an announced reclaim.
+        """
         for machine in list(self.cluster.machines.values()):
             if machine.deletion_requested:
                 if machine.retry_deletion_at <= now:
                     self.scheduler.delete_machines([machine])
                 continue
             if machine.status == BOOTING:
-                self._boots.check(machine, now)
+                self._boot_monitor.check(machine, now)
             elif machine.in_other_shard:
                 continue
             elif machine.quarantined and machine.empty():
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -1,9 +1,12 @@
-"""Which machines to trust: silent ones, unreachable zones, faulty and slow machines.
+"""Health of machines: detects lost machines, unreachable zones, faulty and slow machines.
 
-Silence has several causes that call for different answers. A machine that died is replaced
-at once. If a whole zone falls silent, it is unreachable: its machines most likely still
-stand, and nothing rented there could be heard. If every zone is silent, it is this node
-that is isolated, and leases decide.
+A machine is silent if it sends no heartbeats or no command reaches it. There are several causes:
+
+- A single machine has died: it is deleted and replaced at once.
+- Most machines of a zone are silent: the zone is unreachable. Its machines are most likely still
+  up, and new machines in the zone would be unreachable too.
+- The machines of all zones are silent: this node is isolated. No machine is deleted; tasks
+  are freed only when the leases of their workers expire.
 """
 
 from __future__ import annotations
@@ -19,35 +22,37 @@
 from appleshift.state.states import EXITED, UP
 
 PROBE_AFTER_INTERVALS = 1.4
-"""Heartbeats are a quarter late at most: a machine that misses one is probed at once."""
+"""A machine is probed after this many heartbeat intervals without a heartbeat. Heartbeats are
+at most a quarter of an interval late, so it has missed one then."""
 MIN_SILENT_INTERVALS = 2.2
-"""Two intervals must have passed without a heartbeat before a machine counts as lost."""
+"""A machine counts as lost only after this many heartbeat intervals, so that two have passed
+without a heartbeat."""
 NEW_LEADER_PROBE_S = 2.0
-"""A new leader probes machines that it has not heard yet after so many seconds at most."""
+"""Longest time in seconds before a new leader probes a machine that has sent it no heartbeat."""
 MAX_PROBES = 40
-"""Probes in one check of all machines."""
+"""Most probes in one check of all machines."""
 MIN_MACHINES_FOR_UNREACHABLE = 3
-"""Fewer machines of a zone may well fall silent independently of each other."""
+"""Fewest machines that make a zone unreachable: fewer may well fail independently."""
 MAX_SILENT_FOR_UNREACHABLE = 8
-"""So many machines with unanswered probes are evidence enough of an unreachable zone:
-probing all of a large one would take seconds."""
+"""This many machines with unanswered probes are sufficient evidence, even for a large zone:
+probing all its machines would take seconds."""
 UNREACHABLE_PROBES = 4
-"""Machines of an unreachable zone that are probed in a check to find out if it is back."""
+"""Machines of an unreachable zone probed in one check to test if it is reachable again."""
 LOST_PROBES = 2
-"""Unanswered probes after which a silent machine is lost."""
+"""Unanswered probes after which a silent machine counts as lost."""
 LOST_PROBES_NEW_LEADER = 3
-"""The same for a machine that this leader never heard: after a failover workers take a
-while to find the new leader. A probe doesn't depend on that, so one more will do."""
+"""The same for a machine that has sent no heartbeat to this leader. After a failover, workers take
+a while to find the new leader. Probes don't depend on that, so one more probe is sufficient."""
 
 
 @dataclass(frozen=True, slots=True)
 class SilentMachines:
-    """The result of one look at all machines that are up."""
+    """Numbers of machines that are up, and the silent ones among them, in one check."""
 
     up: dict[int, int]
-    """Machines that are up, by zone."""
+    """Zone -> number of its machines that are up."""
     by_zone: dict[int, list[Machine]]
-    """Those of them that are silent."""
+    """Zone -> its machines that are up but silent; only zones with such machines."""
 
     def is_majority(self, zone: int) -> bool:
         """Whether more than half of a zone's machines are silent."""
@@ -55,25 +60,25 @@
 
 
 class MachineHealth:
-    """Checks every machine a few times a second."""
+    """Checks the health of all machines several times per second."""
 
     def __init__(self, fleet: FleetView) -> None:
-        """Check the machines of ``fleet`` from now on."""
+        """Start to check the machines of ``fleet``, at the start of a term."""
         self._fleet = fleet
         self._scheduler = fleet.scheduler
         self._cluster = fleet.cluster
         self._started = fleet.scheduler.now
         self._faults = FaultDetector(fleet.scheduler)
         self._zones = UnreachableZones(fleet.scheduler)
-        self.unreachable_zones = self._zones.since
+        self.unreachable_zones = self._zones.unreachable_since
 
     # -- silent machines and zones ------------------------------------------------------
 
     def check(self, now: float) -> None:
-        """Probe silent machines, find unreachable zones and delete lost machines."""
+        """Update the unreachable zones, probe silent machines and delete lost machines."""
         silent = self._find_silent(now)
         silent_zones = self._silent_zones(silent)
-        # Nobody answers anywhere: this node is isolated. One zone alone proves nothing.
+        # If the machines of all zones are silent, this node is isolated.
         isolated = bool(silent_zones) and silent_zones.issuperset(silent.up)
         unconfirmed = self._zones.unconfirmed(silent.up, now)
         self._zones.update(set() if isolated else silent_zones | unconfirmed, now, isolated)
@@ -84,51 +89,55 @@
             probes_left -= self._delete_or_probe(zone, machines, may_be_lost, probes_left, now)
 
     def _find_silent(self, now: float) -> SilentMachines:
+        """Find the silent machines among this shard's machines that are up."""
         report_s = self._scheduler.settings.deployment.workers.report_s
         probe_s = report_s * PROBE_AFTER_INTERVALS
-        # A new leader probes those that have not found it yet, not all at once.
-        new_s = min(probe_s, NEW_LEADER_PROBE_S)
+        # A machine that has not yet sent a heartbeat to this leader may be probed earlier.
+        new_leader_probe_s = min(probe_s, NEW_LEADER_PROBE_S)
         up: dict[int, int] = {}
         silent: dict[int, list[Machine]] = {}
         for machine in self._cluster.machines.values():
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_heard <= new_s and not machine.commands_lost_since:
-                # Nearly all of them, several times a second.
+            if now - machine.last_heard <= new_leader_probe_s and not machine.commands_lost_since:
+                # Fast path for nearly all machines in every check.
                 continue
             heard_this_term = machine.last_heard >= self._started
-            if self._silent_for_s(machine, now) > (probe_s if heard_this_term else new_s):
+            if self._silent_for_s(machine, now) > (
+                probe_s if heard_this_term else new_leader_probe_s
+            ):
                 silent.setdefault(machine.zone, []).append(machine)
         return SilentMachines(up, silent)
 
     def _silent_zones(self, silent: SilentMachines) -> set[int]:
-        """Zones of which most machines are silent and enough left probes unanswered.
+        """Return the zones that seem unreachable.
 
-        Silence alone is no evidence: after a failover workers take a while to find the
-        leader, but they answer probes.
+        In such a zone, most machines are silent and a sufficient number of them left probes
+        unanswered. Missing heartbeats alone are no evidence: after a failover, workers take a
+        while to find the new leader, but they answer probes.
         """
         zones = set()
         for zone, machines in silent.by_zone.items():
             unanswered = sum(1 for machine in machines if machine.unanswered_probes > 0)
-            least = 1 if zone in self.unreachable_zones else MIN_MACHINES_FOR_UNREACHABLE
-            enough = min(MAX_SILENT_FOR_UNREACHABLE, len(machines) // 2 + 1)
-            if silent.is_majority(zone) and unanswered >= max(least, enough):
+            min_unanswered = 1 if zone in self.unreachable_zones else MIN_MACHINES_FOR_UNREACHABLE
+            unanswered_needed = min(MAX_SILENT_FOR_UNREACHABLE, len(machines) // 2 + 1)
+            if silent.is_majority(zone) and unanswered >= max(min_unanswered, unanswered_needed):
                 zones.add(zone)
         return zones
 
     def _delete_or_probe(
         self, zone: int, machines: list[Machine], may_be_lost: bool, max_probes: int, now: float
     ) -> int:
-        """Delete a zone's silent machines that are lost and probe others; returns the probes.
+        """Delete the lost machines among a zone's silent machines and probe the others.
 
-        Machines that run replicas are probed even beyond the few that show whether an
-        unreachable zone is back.
+        In an unreachable zone only a few machines are probed to test if it is reachable again,
+        and all machines that run replicas. Returns the number of probes, ``max_probes`` at most.
         """
         report_s = self._scheduler.settings.deployment.workers.report_s
         silent_s = max(self._scheduler.operator.silent_s, MIN_SILENT_INTERVALS * report_s)
         zone_probes = UNREACHABLE_PROBES if zone in self.unreachable_zones else len(machines)
-        sent = 0
+        probes = 0
         for machine in machines:
             machine_silent_s = self._silent_for_s(machine, now)
             if may_be_lost and self._is_lost(machine, machine_silent_s, silent_s, now):
@@ -137,73 +146,73 @@
             elif (
                 machine.addr
                 and not machine.probe_in_flight
-                and sent < max_probes
-                and (sent < zone_probes or runs_replicas(machine))
+                and probes < max_probes
+                and (probes < zone_probes or runs_replicas(machine))
             ):
-                sent += 1
+                probes += 1
                 machine.probe_in_flight = True
                 self._scheduler.actions.append(ProbeMachine(machine.name, machine.addr))
-        return sent
+        return probes
 
     def _silent_for_s(self, machine: Machine, now: float) -> float:
-        """For how many seconds a machine neither sent heartbeats nor answered commands.
+        """Return for how many seconds a machine sent no heartbeats or received no commands.
 
-        Only the time counts in which it could have been heard.
+        Only time in this term and since its zone was last unreachable counts.
         """
-        last_sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
-        since = max(last_sign, self._started, self._zones.reachable_again_at(machine.zone))
+        last_contact = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
+        since = max(last_contact, self._started, self._zones.reachable_again_at(machine.zone))
         return now - since
 
     def _is_lost(
         self, machine: Machine, machine_silent_s: float, silent_s: float, now: float
     ) -> bool:
-        """Whether to delete a silent machine, which proves its tasks gone, rather than wait."""
+        """Whether to delete a silent machine now, which proves that its tasks are gone."""
         if machine.zone in self.unreachable_zones:
             if runs_replicas(machine):
-                # Its whole zone is as silent as it is.
-                return machine.unanswered_probes > 0 and self._frees_more_than_it_costs(machine)
-            # Its tasks are free when its lease expires, and the machine is there, images
-            # and all, once the zone is back.
-            return self._zones.is_past_patience(machine.zone, now) and machine.empty()
+                # Its zone is silent too, so one unanswered probe is sufficient.
+                return machine.unanswered_probes > 0 and self._deletion_helps_more_replicas(machine)
+            # The machine's tasks can start elsewhere when its lease expires. Once the zone is
+            # reachable again, the machine is available with all its images.
+            return self._zones.is_past_retention(machine.zone, now) and machine.empty()
         heard_this_term = machine.last_heard >= self._started
         probes = LOST_PROBES if heard_this_term else LOST_PROBES_NEW_LEADER
         if machine_silent_s > silent_s and machine.unanswered_probes >= probes:
             return True
         return machine_silent_s > self._scheduler.worker_lease_s + silent_s and machine.empty()
 
-    def _frees_more_than_it_costs(self, machine: Machine) -> bool:
+    def _deletion_helps_more_replicas(self, machine: Machine) -> bool:
         """Whether deleting a machine helps more of its replicas than it harms.
 
-        Replicas that may start in other zones gain a lease's time by a deletion; those that
-        may not lose a boot's time once the zone is back. With two zones and replicas spread
-        over them, 91 machines were once deleted in a partition of 40 s though none of their
-        replicas could start in the other zone.
+        After a deletion, replicas that may start in other zones need not wait until the lease
+        expires. Other replicas have to wait for a new machine to boot once the zone is reachable
+        again. In a partition of 40 s with two zones and replicas spread over them, 91 machines
+        were once deleted although none of their replicas could start in the other zone.
         """
-        movable = stuck = 0.0
+        movable = not_movable = 0.0
         for run in machine.runs.values():
             if run.job.service and run.state != EXITED:
                 fraction = self._movable_fraction(run.job, machine.zone)
                 movable += fraction
-                stuck += 1.0 - fraction
-        return movable > stuck
+                not_movable += 1.0 - fraction
+        return movable > not_movable
 
     def _movable_fraction(self, job: Job, zone: int) -> float:
-        """The fraction of a job's replicas in a zone that may start in others."""
+        """Return the fraction of a job's replicas in a zone that may start in reachable zones."""
         if job.zone == zone:
             return 0.0
         remaining = remaining_per_zone(self._cluster, job)
         if remaining is None:
             return 1.0
         replicas = sum(run.machine.zone == zone for run in job.runs.values())
-        room_elsewhere = sum(
+        capacity_elsewhere = sum(
             max(0, room)
             for other, room in remaining.items()
             if other != zone and other not in self.unreachable_zones
         )
-        return min(1.0, room_elsewhere / max(1, replicas))
+        return min(1.0, capacity_elsewhere / max(1, replicas))
 
     def probe_result(self, name: str, answered: bool) -> None:
-        """Count the result of a probe."""
+        """Record whether the machine ``name`` answered a probe."""
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
@@ -212,24 +221,24 @@
     # -- zones --------------------------------------------------------------------------
 
     def is_trusted(self, zone: int) -> bool:
-        """Whether a zone's capacity counts; see ``UnreachableZones.is_trusted``."""
+        """Whether a zone's machines count as capacity; see ``UnreachableZones.is_trusted``."""
         return self._zones.is_trusted(zone)
 
     def may_rent_in_unreachable(self, zone: int) -> bool:
-        """Whether one machine may be rented in an unreachable zone, to find out if it is back."""
+        """Whether to rent a test machine in a zone; see ``UnreachableZones.may_rent_in``."""
         return self._zones.may_rent_in(zone)
 
     # -- faulty and slow machines -------------------------------------------------------
 
     def task_failed(self, machine: Machine, job: Job) -> None:
-        """Count a failed task against its machine or its job."""
+        """Record a failed task; see ``FaultDetector.task_failed``."""
         self._faults.task_failed(machine, job)
 
     def task_completed(self, machine: Machine, job: Job, seconds: float) -> None:
-        """Compare the duration of a completed task with those of the same job elsewhere."""
+        """Record a completed task's duration; see ``FaultDetector.task_completed``."""
         self._faults.task_completed(machine, job, seconds)
 
 
 def runs_replicas(machine: Machine) -> bool:
-    """Whether a machine runs service replicas, which users miss from the first second on."""
+    """Whether a machine runs service replicas, whose loss users notice immediately."""
     return any(run.job.service and run.state != EXITED for run in machine.runs.values())
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -1,20 +1,20 @@
-"""What heartbeats prove of a machine: that it lives, and whether commands reach it.
-
-Copies of a heartbeat may arrive late, from seconds to well over a lease, at any node, also
-when their machine is long gone. And a machine may be heard that no response or command
-reaches: when its lease expires it looks empty and well. So the contents of a heartbeat count
-only if it is newer than everything received before (``Scheduler.observe``), a lease is
-renewed only by a heartbeat that is newer than every other *heartbeat*, and that commands
-reach a machine is shown by what it does afterwards:
-
-- a heartbeat, after the one before, within the time that a worker waits for a response: it
-  got one;
-- an answer to a direct command or probe.
-
-A worker has one heartbeat in flight at a time and drops a response after 4 s, so nobody reads
-the response to any but its newest heartbeat. Its lease counts from when that was sent, which
-is no later than when the first copy of it arrived. ``docs/design-hearing.md`` goes through
-every use of a heartbeat.
+"""Tracks from heartbeats and probes whether a machine is up and whether commands reach it.
+
+Copies of a heartbeat may arrive at any node late, from seconds to well over a lease, even when
+the machine was deleted long ago. A machine may also send heartbeats while no response or
+command reaches it; when its lease expires, such a machine seems empty and healthy. Therefore:
+
+- The contents of a heartbeat count only if it is newer than everything received before
+  (``Scheduler.observe``).
+- A lease is renewed only by a heartbeat that is newer than every other *heartbeat*.
+- Commands reach a machine if it sends a heartbeat within the time that a worker waits for the
+  response to the previous heartbeat, which shows that it received that response, or if it
+  answers a direct command or a probe.
+
+A worker has one heartbeat in flight at a time and drops a response after 4 s, so it reads only
+the response to its newest heartbeat. The worker's lease starts when it sends that heartbeat,
+which is no later than the arrival of its first copy. ``docs/design-hearing.md`` describes every
+use of a heartbeat.
 """
 
 from __future__ import annotations
@@ -29,19 +29,25 @@
 
 
 class MachineLiveness:
-    """Tracks when machines were heard; used by the scheduler's thread only."""
+    """Tracks heartbeats of machines and results of commands.
+
+    Used by the scheduler's thread only.
+    """
 
     def __init__(self, scheduler: SchedulerView) -> None:
-        """Start a term: heartbeats to earlier leaders are not known."""
+        """Start a term, without the heartbeats that earlier leaders received."""
         self._scheduler = scheduler
         self._started = scheduler.now
         self._heartbeats_lost_after_s = scheduler.settings.deployment.workers.lease_s / 2
 
     def record_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Record a heartbeat; false if a copy of it, or a newer one, arrived before."""
-        # Compared with its agent epoch: the answer to a probe may have shown a new epoch
-        # before, in which sequence numbers restart. Heartbeats of the new epoch were once
-        # taken for copies, and renewed no lease.
+        """Record a heartbeat; return false if it, or a newer one, was received before.
+
+        Probes the machine if it is not known whether commands reach it.
+        """
+        # The agent epoch is compared first, since sequence numbers restart in each epoch and the
+        # answer to a probe may show a new epoch before its first heartbeat arrives. Heartbeats
+        # of a new epoch were once treated as copies and renewed no lease.
         position = (heartbeat.agent_epoch, heartbeat.seq)
         if position <= machine.last_heartbeat:
             return False
@@ -49,8 +55,8 @@
         if machine.last_heartbeat_at > -math.inf:
             commands_arrive = now - machine.last_heartbeat_at < HEARTBEAT_TIMEOUT_S
         else:
-            # Commands of an earlier leader reached the machines that it knew. A new machine
-            # has to show first that they do.
+            # Commands of an earlier leader reached the machines that were up. A new machine
+            # must first show that commands reach it.
             commands_arrive = machine.status == UP
         self._update_reachability(machine, now, commands_arrive)
         machine.last_heartbeat = position
@@ -62,6 +68,7 @@
 
     @staticmethod
     def _update_reachability(machine: Machine, at: float, commands_arrive: bool) -> None:
+        """Record the time of a heartbeat, and whether commands reach its machine."""
         machine.last_heartbeat_at = at
         if commands_arrive:
             machine.commands_lost_since = machine.heartbeats_since_unreachable = (
@@ -70,17 +77,22 @@
             return
         machine.heartbeats_since_unreachable += 1
         if machine.heartbeats_since_unreachable == 1:
-            # Probes that it left unanswered while it was not heard say nothing of now.
+            # Probes left unanswered before this heartbeat do not show that the machine is
+            # unreachable now.
             machine.commands_lost_since, machine.unanswered_probes = at, 0
 
     def apply_fast_path_entry(self, machine: Machine) -> None:
-        """Take over what the fast path recorded of heartbeats without any change."""
+        """Apply the heartbeats that the fast path recorded for a machine.
+
+        The fast path answers heartbeats that report no change.
+        """
         entry = machine.fast_path_entry
         if entry is not None:
             at, agent_epoch, seq, commands_arrive = entry.last_answered
-            # Whatever else arrived meanwhile: the answer to a direct command is later, but
-            # renews no lease. When only later times counted, leases that had been renewed
-            # on the fast path were taken for expired, and eight tasks ran twice on one day.
+            # Extend the lease even if something newer arrived meanwhile: the answer to a direct
+            # command may be newer, but it renews no lease. When only newer entries were
+            # applied, leases renewed on the fast path were treated as expired, and eight
+            # tasks ran twice on one day.
             machine.lease_until = max(machine.lease_until, at + self._scheduler.worker_lease_s)
             if at > machine.last_heartbeat_at:
                 self._update_reachability(machine, at, commands_arrive)
@@ -88,14 +100,14 @@
             if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
             machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
-        # A machine whose heartbeats are lost may answer probes, but its lease will expire.
+        # A machine whose heartbeats are lost may still answer probes, but its lease expires.
         machine.heartbeats_lost = (
             self._scheduler.now - max(machine.last_heartbeat_at, self._started)
             > self._heartbeats_lost_after_s
         )
 
     def command_result(self, machine: Machine, reached: bool) -> None:
-        """Record whether a direct command or probe reached the machine."""
+        """Record whether a machine answered a direct command or a probe."""
         if reached:
             machine.commands_lost_since = machine.heartbeats_since_unreachable = (
                 machine.unanswered_probes
--- a/appleshift/machines/reclaim.py
+++ b/appleshift/machines/reclaim.py
@@ -1,4 +1,4 @@
-"""Checkpointing tasks before the cloud reclaims their machine."""
+"""Stops tasks on a machine that the cloud reclaims, in time to save a checkpoint."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from appleshift.state.entities import Machine
 
 STOP_GRACE_FACTOR = 3.0
-"""Tasks are stopped once less than this many times their grace period remains."""
+"""A task is stopped once less than this many times its grace period, and the margin, remain."""
 STOP_MARGIN_S = 6.0
-"""Added to the above, in seconds: the stop command itself takes time to arrive."""
+"""Margin in seconds for the time that the stop command takes to arrive."""
 
 
 def checkpoint_before_reclaim(scheduler: SchedulerView, machine: Machine) -> None:
-    """Stop the tasks that can save a checkpoint in time, as late as is safe."""
+    """Stop the tasks that can save a checkpoint, as late as is safe before the reclaim."""
     assert machine.reclaim_at is not None
     remaining_s = machine.reclaim_at - scheduler.now
     for run in list(machine.runs.values()):
--- a/appleshift/machines/shard_ownership.py
+++ b/appleshift/machines/shard_ownership.py
@@ -1,4 +1,4 @@
-"""Which shard owns a machine, and whether this one may delete it."""
+"""Ownership of machines by shards, and whether this shard may delete a machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from appleshift.state.states import BOOTING
 
 
-def mark_shard(scheduler: SchedulerView, machine: Machine) -> None:
+def update_shard_ownership(scheduler: SchedulerView, machine: Machine) -> None:
     """Set ``machine.in_other_shard`` from the shard map and the machines handed off."""
     sharding = scheduler.sharding
     if sharding is None:
@@ -19,5 +19,8 @@
 
 
 def may_delete(machine: Machine) -> bool:
-    """Whether this shard may delete a machine: once up, only the shard that owns it may."""
+    """Whether this shard may delete a machine.
+
+    Once a machine is up, only the shard that owns it may delete it.
+    """
     return not machine.in_other_shard or machine.status == BOOTING
