--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -5,7 +5,7 @@
 import logging
 
 from appleshift.contracts.interfaces import FleetView
-from appleshift.machines.shard_ownership import update_shard_ownership, may_delete
+from appleshift.machines.shard_ownership import may_delete, update_shard_ownership
 from appleshift.protocol import cloud
 from appleshift.protocol.cloud import ListedMachine
 from appleshift.state.entities import Machine
@@ -13,7 +13,8 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_AGE_LAGS = 2
-"""A machine heard within this many listing lags exists, even if a listing lacks it."""
+"""A machine that sent a heartbeat or answered a probe within this many listing lags exists, even
+if it is missing in a listing."""
 MIN_AGE_LAGS = 4
 """Age, in listing lags, up to which a machine may still be missing in a listing."""
 MIN_AGE_MARGIN_S = 10.0
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -137,7 +137,7 @@
         report_s = self._scheduler.settings.deployment.workers.report_s
         silent_s = max(self._scheduler.operator.silent_s, MIN_SILENT_INTERVALS * report_s)
         zone_probes = UNREACHABLE_PROBES if zone in self.unreachable_zones else len(machines)
-        probes = 0
+        probes_sent = 0
         for machine in machines:
             machine_silent_s = self._silent_for_s(machine, now)
             if may_be_lost and self._is_lost(machine, machine_silent_s, silent_s, now):
@@ -146,13 +146,13 @@
             elif (
                 machine.addr
                 and not machine.probe_in_flight
-                and probes < max_probes
-                and (probes < zone_probes or runs_replicas(machine))
+                and probes_sent < max_probes
+                and (probes_sent < zone_probes or runs_replicas(machine))
             ):
-                probes += 1
+                probes_sent += 1
                 machine.probe_in_flight = True
                 self._scheduler.actions.append(ProbeMachine(machine.name, machine.addr))
-        return probes
+        return probes_sent
 
     def _silent_for_s(self, machine: Machine, now: float) -> float:
         """Return for how many seconds a machine sent no heartbeats or received no commands.
