--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -5,7 +5,7 @@
 command reaches it; when its lease expires, such a machine seems empty and healthy. Therefore:
 
 - The contents of a heartbeat count only if it is newer than everything received before
-  (``Scheduler.observe``).
+  (``Scheduler.reconcile``).
 - A lease is renewed only by a heartbeat that is newer than every other *heartbeat*.
 - Commands reach a machine if it sends a heartbeat within the time that a worker waits for the
   response to the previous heartbeat, which shows that it received that response, or if it
