--- a/appleshift/dispatch/__init__.py
+++ b/appleshift/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Carries out what the scheduler decides: commands to workers and calls to the cloud."""
+"""Executes actions of the scheduler: sends commands to workers and calls the cloud."""
--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud: rentals, deletions, listings and machine types, within its rate."""
+"""Rate-limited calls to the cloud: rentals, deletions, listings and machine types."""
 
 from __future__ import annotations
 
@@ -20,35 +20,39 @@
 log = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 3.0
+"""Timeout of each call to the cloud, in seconds."""
 CALL_THREADS = 3
+"""Threads for rentals and deletions."""
 RATE_SHARE = 0.9
-"""Share of the cloud's permitted rate that is used."""
+"""Share of the rate permitted by the cloud that all calls together use."""
 LISTING_RATE_SHARE = 0.25
-"""Share of the cloud's permitted rate that listings may take, page by page."""
+"""Share of the rate permitted by the cloud that pages of the machine list may use."""
 LISTINGS_PER_LAG = 3
-"""Listings in the time by which they lag: more often shows nothing new."""
+"""Listings per listing lag. More frequent listings would return no newer data."""
 RENTAL_ATTEMPTS = 5
+"""Maximum number of attempts per rental."""
 RENTAL_RETRY_BACKOFF_S = 0.5
-"""Added to the pause before each further attempt, in seconds."""
+"""Increase of the pause before each retry of a rental, in seconds."""
 MACHINE_TYPES_INTERVAL_S = 20.0
-"""Between requests for machine types and prices, in seconds."""
+"""Interval between requests for machine types and prices, in seconds."""
 LEADER_CHECK_INTERVAL_S = 1.0
-"""How often a node that doesn't lead looks whether it does, in seconds."""
+"""Interval at which a node without a term checks whether it has one, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class RentalOutcome:
-    """What became of a rental for good."""
+    """The final result of a rental."""
 
     names: list[str] | None = None
-    """Machines that were rented; None: unknown, so machines may still appear."""
+    """Names of the rented machines. None if unknown: rented machines may still appear."""
     refused: bool = False
+    """Whether the cloud had no capacity or rejected the rental as malformed."""
 
 
 class CloudCalls:
-    """The cloud's calls: rentals and deletions come before listings.
+    """Calls the cloud; rentals and deletions take precedence over listings.
 
-    Results are posted as events of the term that asked for them.
+    Results are posted as events of the term that requested them.
     """
 
     def __init__(
@@ -59,7 +63,11 @@
         rps: float,
         list_lag_s: float,
     ) -> None:
-        """``rps``: calls a second that the cloud permits; listings lag by ``list_lag_s``."""
+        """Create the client, without polling the cloud yet.
+
+        ``rps``: calls per second that the cloud permits. ``list_lag_s``: seconds by which
+        the cloud's machine list lags.
+        """
         self._post = post
         self._client = client
         self._runtime = runtime
@@ -72,36 +80,39 @@
         self._term: Any = None
 
     def start(self) -> None:
-        """Start to poll the cloud's listing."""
-        self._runtime.spawn("cloud-list", self._poll)
+        """Start the thread that polls the cloud's machine list and machine types."""
+        self._runtime.spawn("cloud-list", self._poll_cloud)
 
     def set_term(self, term: Any) -> None:
-        """Poll the cloud for this term; None: this node no longer leads."""
+        """Poll the cloud for ``term``; None if this node is no longer the leader."""
         self._term = term
         self._wake.set()
 
     def stop(self) -> None:
-        """Stop polling and the pool."""
+        """Stop the polling thread and the thread pool."""
         self._stop.set()
         self._wake.set()
         self._pool.stop()
 
     def rent(self, action: RentMachines, term: Any, may_call: Callable[[], bool]) -> None:
-        """Rent machines; ``events.RentalAnswered`` follows.
+        """Rent machines; the result is posted as ``events.RentalAnswered``.
 
-        ``may_call`` is asked again right before the call: it may have waited for the rate
-        limit until the term was over.
+        ``may_call`` returns whether the term may still call the cloud. It is checked again
+        right before the call, since the term may end during the wait for the rate limit.
         """
         self._pool.submit(self._rent, action, term, may_call)
 
     def delete(self, action: DeleteMachines, term: Any, may_call: Callable[[], bool]) -> None:
-        """Delete machines, if still ``may_call``; ``events.DeletionAnswered`` follows."""
+        """Delete machines, if ``may_call`` returns true right before the call.
+
+        The result is posted as ``events.DeletionAnswered``.
+        """
         self._pool.submit(self._delete, action, term, may_call)
 
     def machine_types(self) -> list[cloud.MachineType]:
-        """Ask what can be rented; blocks.
+        """Request the machine types that the cloud rents; blocks.
 
-        Raises ClientError or ProtocolError if the cloud gives no valid answer.
+        Raises ClientError or ProtocolError if the cloud returns no valid response.
         """
         status, body = self._get("/machine_types")
         if status != 200:
@@ -134,7 +145,10 @@
     def _try_rent(
         self, action: RentMachines, body: bytes, may_call: Callable[[], bool]
     ) -> RentalOutcome | None:
-        """One attempt, which may be repeated with the same request id; None: try again."""
+        """Make one attempt to rent machines; None if it should be retried.
+
+        Attempts are idempotent: all of them carry the same request id.
+        """
         self._rate_limiter.acquire()
         if not may_call():
             return RentalOutcome()
@@ -162,8 +176,8 @@
 
     # -- listings -----------------------------------------------------------------------
 
-    def _poll(self) -> None:
-        types_at = -math.inf
+    def _poll_cloud(self) -> None:
+        types_listed_at = -math.inf
         polled_term: Any = None
         while not self._stop.is_set():
             term = self._term
@@ -172,19 +186,19 @@
                 self._wake.clear()
                 continue
             if term is not polled_term:
-                polled_term, types_at = term, -math.inf
+                polled_term, types_listed_at = term, -math.inf
             pages = 1
             try:
-                types_due = self._runtime.now() - types_at > MACHINE_TYPES_INTERVAL_S
+                types_due = self._runtime.now() - types_listed_at > MACHINE_TYPES_INTERVAL_S
                 if types_due and self._list_machine_types(term):
-                    types_at = self._runtime.now()
+                    types_listed_at = self._runtime.now()
                 pages = self._list_machines(term)
             except (ClientError, ProtocolError) as error:
                 log.info("cloud listing failed error=%s", error)
             self._stop.wait(max(self._list_interval_s, pages * self._page_interval_s))
 
     def _list_machine_types(self, term: Any) -> bool:
-        """Post the machine types; false if the cloud doesn't give them."""
+        """Request and post the machine types; return false if the cloud refused."""
         status, body = self._get("/machine_types")
         if status != 200:
             return False
@@ -192,7 +206,10 @@
         return True
 
     def _list_machines(self, term: Any) -> int:
-        """Read and post the whole listing; returns how many pages it took."""
+        """Read and post the list of machines; return the number of pages read.
+
+        Nothing is posted if the cloud refuses a page.
+        """
         rows: list[cloud.ListedMachine] = []
         pages, complete = 0, True
         after = ""
@@ -207,7 +224,7 @@
             if not page.more:
                 break
             if not page.machines:
-                # Without a last name there is no next page to ask for: the rest stays unread.
+                # An empty page has no last name from which to request the next page.
                 complete = False
                 break
             after = page.machines[-1].name
@@ -216,7 +233,7 @@
 
 
 def _is_out_of_capacity(response: bytes) -> bool:
-    """Whether a 503 says that the market has no machines, rather than that the cloud is busy."""
+    """Return whether a 503 response means that no machines are left, not an overloaded cloud."""
     try:
         body = decode(response)
     except ProtocolError:
--- a/appleshift/dispatch/worker_calls.py
+++ b/appleshift/dispatch/worker_calls.py
@@ -1,4 +1,4 @@
-"""Direct calls to workers: commands, and probes of silent ones."""
+"""Direct calls to workers: commands, and probes of workers that sent no heartbeat."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 log = logging.getLogger(__name__)
 
 COMMAND_TIMEOUT_S = 1.5
+"""Timeout of a direct command, in seconds."""
 PROBE_TIMEOUT_S = 0.6
+"""Timeout of a probe, in seconds."""
 
 
 class WorkerCalls:
-    """Direct commands and probes, in a bounded pool of threads.
+    """Sends direct commands and probes to workers from a bounded thread pool.
 
-    Their outcomes are posted as events of the term that asked for them.
+    The outcomes are posted as events of the term that requested them.
     """
 
     def __init__(
@@ -38,25 +40,28 @@
         thread_count: int,
         max_clients: int,
     ) -> None:
-        """Keep at most ``max_clients`` open connections; the pool has ``thread_count`` threads."""
+        """Create the client with a pool of ``thread_count`` threads.
+
+        ``max_clients``: number of workers to which connections are kept open.
+        """
         self._post = post
         self._connect = connect
         self._max_clients = max_clients
         self._pool = ThreadPool(runtime, "worker-call", thread_count)
-        # The most recently used last; sockets are limited.
+        # In order of use, the most recent last. Bounded, since sockets are limited.
         self._clients: OrderedDict[str, HttpCaller] = OrderedDict()
         self._lock = threading.Lock()
 
     def send_commands(self, action: SendCommands, term: Any) -> None:
-        """Send commands to a worker; ``events.CommandsSent`` follows."""
+        """Send commands to a worker; the result is posted as ``events.CommandsSent``."""
         self._pool.submit(self._send_commands, action, term)
 
     def probe(self, action: ProbeMachine, term: Any) -> None:
-        """Ask a worker for its status; ``events.ProbeAnswered`` follows."""
+        """Request the status of a worker; the result is posted as ``events.ProbeAnswered``."""
         self._pool.submit(self._probe, action, term)
 
     def is_reachable(self, addr: str) -> bool:
-        """Whether the worker at this address answers this node now; blocks."""
+        """Return whether the worker at this address responds to this node now; blocks."""
         try:
             status, _ = self._inspect(addr)
         except (ClientError, ValueError):
@@ -64,7 +69,7 @@
         return status == 200
 
     def stop(self) -> None:
-        """Stop the pool."""
+        """Stop the thread pool."""
         self._pool.stop()
 
     def _client(self, addr: str) -> HttpCaller:
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -1,7 +1,7 @@
-"""Commands to workers: in responses to their heartbeats, and sent directly.
+"""Commands to workers: in responses to heartbeats, or sent directly.
 
-All commands can be repeated; what is ordered again and again is therefore derived from the
-cluster's state each time rather than kept in a queue.
+Commands are idempotent and repeated until they take effect. They are derived from the
+cluster state each time instead of being kept in a queue.
 """
 
 from __future__ import annotations
@@ -16,44 +16,56 @@
 from appleshift.state.states import ASSIGNED, EXITED
 
 RESEND_INTERVAL_S = 1.0
-"""A command without visible effect is sent again after so many seconds."""
+"""Seconds after which a command without visible effect is sent again.
+
+A machine whose direct command failed gets no new tasks for this long.
+"""
 MAX_COMMANDS = 400
-"""Commands in one response, which is limited to 64 KiB; the rest follows with the next one."""
+"""Maximum number of commands in one response, which is limited to 64 KiB.
+
+The remaining commands are sent with the next response.
+"""
 CANCEL_TIME_SHARE_FOR_START = 0.5
-"""Share of the time to cancel a task in which its start is still sent."""
+"""Share of the cancellation deadline (``cancel_s``) in which a cancelled task's start is sent."""
 
 
 class WorkerCommands:
-    """Part of the scheduler: derives commands and tracks to which machines some are due."""
+    """The part of the scheduler that derives commands to workers.
+
+    It tracks the machines to which commands are due directly.
+    """
 
     def __init__(self, scheduler: SchedulerView) -> None:
-        """Start a term without due commands."""
+        """Derive commands from the cluster state of ``scheduler``."""
         self._scheduler = scheduler
         self._due_machines: set[int] = set()
 
     def __len__(self) -> int:
-        """How many machines have commands due."""
+        """Return the number of machines to which commands are due."""
         return len(self._due_machines)
 
     def schedule_send(self, machine: Machine) -> None:
-        """Send a machine's commands directly rather than wait for its next heartbeat."""
+        """Schedule commands to be sent to a machine directly, before its next heartbeat.
+
+        The fast path does not answer that heartbeat, so that the scheduler can add commands.
+        """
         self._due_machines.add(machine.index)
         if machine.fast_path_entry is not None:
             machine.fast_path_entry.expected = None
 
     def for_heartbeat(self, machine: Machine) -> list[dict[str, Any]]:
-        """Commands for the response to a heartbeat.
+        """Return the commands for the response to a heartbeat.
 
-        All of them, for the heartbeat shows what has not arrived yet.
+        Starts that were sent before are included if the heartbeat does not list the task.
         """
         self._due_machines.discard(machine.index)
-        return self._commands(machine, resend=True)[0]
+        return self._derive_commands(machine, resend=True)[0]
 
     @staticmethod
     def stop_commands(machine: Machine) -> list[dict[str, Any]]:
-        """Only the stops, for the response to a heartbeat that may be a copy.
+        """Return only the stop commands, for the response to a duplicate heartbeat.
 
-        Nobody may read that response, so nothing counts as sent by it.
+        The worker may not receive that response, so no command is marked as sent.
         """
         stops = [
             workers.stop_command(run.name, run.attempt, run.stop_grace_s)
@@ -67,13 +79,12 @@
         ]
         return (stops + unknown_stops)[:MAX_COMMANDS]
 
-    def _commands(
+    def _derive_commands(
         self, machine: Machine, resend: bool
     ) -> tuple[list[dict[str, Any]], tuple[tuple[str, int], ...]]:
-        """Commands for a worker, and the (task, attempt) keys of the starts among them.
+        """Return the commands for a worker and the (task, attempt) keys of their starts.
 
-        ``resend`` repeats starts that were sent before: responses to heartbeats do, since
-        the heartbeat shows what has not arrived yet.
+        ``resend``: include starts that were sent before and are not in a heartbeat yet.
         """
         commands: list[dict[str, Any]] = []
         starts: list[tuple[str, int]] = []
@@ -86,16 +97,18 @@
                 if run.exit_durable and not run.unconfirmed_starts:
                     commands.append(workers.clear_command(run.name, run.attempt))
             elif run.state == ASSIGNED:
-                if self._add_start(run, resend, commands):
+                if self._add_start_commands(run, resend, commands):
                     starts.append(key)
             elif run.stop_grace_s is not None:
                 commands.append(workers.stop_command(run.name, run.attempt, run.stop_grace_s))
         if machine.unknown_runs:
-            _add_unknown_runs(machine, commands)
+            _add_commands_for_unknown_runs(machine, commands)
         return commands, tuple(starts)
 
-    def _add_start(self, run: TaskRun, resend: bool, commands: list[dict[str, Any]]) -> bool:
-        """Add the commands for an assigned task; returns whether a start is among them."""
+    def _add_start_commands(
+        self, run: TaskRun, resend: bool, commands: list[dict[str, Any]]
+    ) -> bool:
+        """Add the commands for an assigned task; return whether they include a start."""
         if run.stop_grace_s is None:
             if run.start_sent and not resend:
                 return False
@@ -103,16 +116,16 @@
             run.start_sent = run.ordered_this_term = True
             return True
         if not run.ordered_this_term:
-            # An earlier leader's start, perhaps of a job that was cancelled long ago: the
-            # worker's next heartbeats show it, or that it is void.
+            # An earlier leader assigned the task, whose job may have been cancelled long ago.
+            # The worker's next heartbeats show whether its start command took effect.
             return False
         cancel_s = self._scheduler.settings.deployment.workers.cancel_s
         if self._scheduler.now - run.stop_ordered_at > cancel_s * CANCEL_TIME_SHARE_FOR_START:
-            # Too late to start anything of a cancelled job: if the start does not show
-            # itself, the machine is given up.
+            # Too late to start a cancelled task. If no heartbeat shows whether an earlier
+            # start command took effect, the machine is deleted.
             return False
-        # Started and stopped at once: the worker then knows the attempt, and a start that
-        # is still in flight does nothing.
+        # Start and stop the task at once: the worker then has a state for the attempt, so
+        # that a start command still in flight has no effect.
         commands.append(workers.start_command(run.name, run.attempt))
         run.start_sent = run.ordered_this_term = True
         commands.append(workers.stop_command(run.name, run.attempt, 0.0))
@@ -128,7 +141,8 @@
     ) -> None:
         """Handle the outcome of direct commands: ``done``, ``refused`` or ``unknown``.
 
-        ``starts`` are those that were among them; ``heartbeat`` came with the answer.
+        ``starts``: (task, attempt) keys of the start commands among them. ``heartbeat``:
+        from the worker's response, if it has one.
         """
         machine = self._scheduler.cluster.machine(name)
         if machine is None:
@@ -144,13 +158,13 @@
             and heartbeat.agent_epoch >= machine.agent_epoch
         ):
             self._scheduler.reconcile(machine, heartbeat)
-        # Counts like a probe that was answered or not.
+        # A response counts like one to a probe, and its absence like an unanswered probe.
         self._scheduler.liveness.command_result(machine, outcome != "unknown")
         if outcome != "done":
             machine.avoid_until = max(machine.avoid_until, self._scheduler.now + RESEND_INTERVAL_S)
 
     def send_due(self) -> None:
-        """Send due commands directly that the next heartbeats' responses would hold."""
+        """Send due commands directly instead of in the responses to the next heartbeats."""
         if not self._due_machines or not self._scheduler.lease.may_answer(self._scheduler.now):
             return
         for index in list(self._due_machines):
@@ -162,7 +176,7 @@
                 self._send_to(machine)
 
     def _send_to(self, machine: Machine) -> None:
-        commands, starts = self._commands(machine, resend=False)
+        commands, starts = self._derive_commands(machine, resend=False)
         if not commands:
             return
         for key in starts:
@@ -181,12 +195,12 @@
 
 
 def _accepts_commands(machine: Machine) -> bool:
-    """Whether a machine is up and known well enough to send it commands."""
+    """Return whether a machine has an address and agent epoch and is not being deleted."""
     return bool(not machine.deletion_requested and machine.addr and machine.agent_epoch)
 
 
-def _add_unknown_runs(machine: Machine, commands: list[dict[str, Any]]) -> None:
-    """Stop tasks on a machine that were never assigned to it, and clear those that exited."""
+def _add_commands_for_unknown_runs(machine: Machine, commands: list[dict[str, Any]]) -> None:
+    """Add commands that stop unassigned task attempts, or clear them if they exited."""
     for (name, attempt), exited in machine.unknown_runs.items():
         if len(commands) >= MAX_COMMANDS:
             return
--- a/appleshift/scheduler/__init__.py
+++ b/appleshift/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler of one term: heartbeats, job requests, commands and time in, actions out."""
+"""The scheduler of one leader term: handles heartbeats and requests, and emits actions."""
--- a/appleshift/scheduler/dependencies.py
+++ b/appleshift/scheduler/dependencies.py
@@ -1,4 +1,4 @@
-"""What a scheduler is built from when a node wins an election."""
+"""The arguments from which a scheduler is built when a node wins an election."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     settings: Settings
     operator: OperatorSettings
     lease: LeaseHolder
-    """Tells whether this node may write and answer at a given time."""
+    """The leader lease: whether this node may write and answer at a given time."""
     fencing_token: int
-    """Grows with every term; workers refuse commands with a lower one."""
+    """Increases with every term; workers refuse commands with a lower token."""
     replayer: LogReplayer
-    """The state recovered from the snapshot and the write-ahead log."""
+    """Holds the cluster state that was read from the snapshot and the write-ahead log."""
     write_ahead_log: WriteAheadLog
     clock: Callable[[], float]
     """Monotonic time in seconds."""
     wall_time: float
-    """Wall-clock time at which the term begins, in seconds since the epoch."""
+    """Wall-clock time at the start of the term, in seconds since the Unix epoch."""
     counted_resources: CountedResources | None = None
-    """None: no counted resources are defined, or another shard counts them."""
+    """None if no counted resources are defined or another shard counts them."""
     sharding: ShardingView | None = None
-    """None: the cluster has a single shard."""
+    """None if the cluster has a single shard."""
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -1,4 +1,4 @@
-"""Answers workers' heartbeats: renews their leases and hands out commands."""
+"""Answers heartbeats: renews the leases of workers and sends them commands."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 
 class HeartbeatRequests:
-    """Part of the scheduler that workers talk to."""
+    """The part of the scheduler that handles heartbeats of workers."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Answer in the name of ``scheduler``."""
+        """Handle heartbeats for ``scheduler``."""
         self._scheduler = scheduler
 
-    def received(self, heartbeat: Heartbeat, reply_to: Any, tasks: bytes | None) -> None:
-        """Apply a heartbeat, renew the machine's lease and answer with its commands.
+    def handle(self, heartbeat: Heartbeat, reply_to: Any, tasks: bytes | None) -> None:
+        """Apply a heartbeat, renew the machine's lease and respond with its commands.
 
-        ``tasks`` is the task list as it was sent: nodes compare it byte by byte to
-        answer an unchanged heartbeat without the scheduler. None: not known.
+        ``tasks`` is the encoded task list of the heartbeat, or None if it is not
+        available. The fast path compares it byte by byte with that of the next
+        heartbeat, and answers an unchanged one without the scheduler.
         """
         scheduler = self._scheduler
         machine = self._accept(heartbeat, reply_to)
@@ -31,27 +32,27 @@
         token = scheduler.fencing_token_for(machine)
         scheduler.liveness.apply_fast_path(machine)
         if not scheduler.liveness.is_new_heartbeat(machine, heartbeat):
-            # A copy, or the original after its copy. The lease that the answer may renew
-            # was counted with the first one; whoever reads this learns what has to stop.
+            # A duplicate, or the original arriving after its duplicate. The lease renewal
+            # was recorded with the first copy, so this response carries stop commands only.
             stop_commands = scheduler.commands.stop_commands(machine)
             scheduler.reply(reply_to, 200, workers.heartbeat_response(token, stop_commands))
             return
         scheduler.reconcile(machine, heartbeat)
-        # The worker counts its lease from when it sent this heartbeat, which is
-        # earlier than now: this bound is on the safe side.
+        # The worker counts its lease from the time at which it sent this heartbeat.
+        # That is earlier than now, so the lease ends no later than this bound.
         machine.lease_until = scheduler.now + scheduler.worker_lease_s
         commands = scheduler.commands.for_heartbeat(machine)
         response = workers.heartbeat_response(token, commands)
         scheduler.reply(reply_to, 200, response)
-        newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
-        if tasks is not None and newest and not commands and machine.needs_no_commands():
-            unchanged = (machine.agent_epoch, token, tasks, encode(response))
+        is_newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
+        if tasks is not None and is_newest and not commands and machine.needs_no_commands():
+            expected = (machine.agent_epoch, token, tasks, encode(response))
             machine.fast_path_entry = scheduler.fast_path.remember(
-                machine.name, unchanged, scheduler.now, heartbeat.seq
+                machine.name, expected, scheduler.now, heartbeat.seq
             )
 
     def _accept(self, heartbeat: Heartbeat, reply_to: Any) -> Machine | None:
-        """Return the machine that reports; None: the heartbeat was refused with an answer."""
+        """Return the machine that sent a heartbeat, or refuse the heartbeat and return None."""
         scheduler = self._scheduler
         if not scheduler.lease.may_answer(scheduler.now):
             scheduler.reply(reply_to, 503, users.error_body("not leading"))
@@ -64,7 +65,7 @@
         if heartbeat.fencing_token > (
             scheduler.fencing_token if machine is None else scheduler.fencing_token_for(machine)
         ):
-            # A newer leader was elected, whatever this node's clock says.
+            # A newer leader was elected, even if the lease still holds by this node's clock.
             scheduler.reply(reply_to, 421, workers.redirect_body(None))
             return None
         if machine is None:
--- a/appleshift/scheduler/interfaces.py
+++ b/appleshift/scheduler/interfaces.py
@@ -1,8 +1,8 @@
-"""The scheduler as its parts see it.
+"""Interfaces of the scheduler that its parts use.
 
-The parts depend on these protocols rather than on the ``Scheduler`` class, so that
-imports go one way. A part calls the scheduler's public methods, also for what another
-part does: whatever is decided passes through one place.
+The parts depend on these protocols rather than on the ``Scheduler`` class, which avoids
+import cycles. A part calls another part only through the scheduler's public methods, so
+that every decision passes through one class.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 class ReplyingScheduler(SchedulerView, Protocol):
-    """The scheduler as the part that answers users' requests sees it."""
+    """The interface of the scheduler for the parts that answer users' requests."""
 
     sharding: ShardingView | None
     writes_stalled: bool
-    """The key-value store takes no writes right now."""
+    """Whether the key-value store currently accepts no writes."""
     draining: bool
-    """The shard is about to be handed over: nothing new is accepted or started."""
+    """Whether the shard is about to be handed over: no job is accepted and no task started."""
 
     def reply(self, reply_to: Any, status: int, body: Any, retry_after: int = 0) -> None:
-        """Answer a request now; ``retry_after`` is in seconds, 0 for none."""
+        """Answer a request now; ``retry_after`` is in seconds, or 0 to omit it."""
         ...
 
     def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
@@ -36,56 +36,62 @@
         ...
 
     def reply_unavailable(self, reply_to: Any) -> None:
-        """Answer 503: the request may be repeated."""
+        """Answer a request with 503 and a time after which to retry."""
         ...
 
     def job_arrived(self, spec: Submission) -> None:
-        """Count a submission among the arrivals that the fleet plans for."""
+        """Record a submission in the arrival history, from which capacity is planned."""
         ...
 
     def job_cancelled(self, job: Job) -> None:
-        """Stop all tasks of a job whose cancellation is durable."""
+        """Stop all tasks of a job after its cancellation became durable."""
         ...
 
 
 class FullSchedulerView(ReplyingScheduler, Protocol):
-    """The scheduler of one term as its own parts see it."""
+    """The interface of the scheduler for all of its own parts."""
 
     commands: WorkerCommands
     fast_path: FastPath
     fleet: Fleet
     started_at: float
-    """Monotonic time at which the term began, in seconds."""
+    """Monotonic time at the start of the term, in seconds."""
     wall_time: float
-    """Wall-clock time of the current step, in seconds since the epoch."""
+    """Wall-clock time of the current step, in seconds since the Unix epoch."""
     last_placement_at: float
     """Monotonic time of the last placement pass, in seconds."""
 
     @property
     def liveness(self) -> MachineLiveness:
-        """What is known of which machines can be reached."""
+        """Tracks which machines can be reached."""
         ...
 
     def stop_job(self, job: Job) -> None:
-        """Order all tasks of a job to stop."""
+        """Order all tasks of a job to stop without a grace period."""
         ...
 
     def retire_if_ended(self, job: Job) -> None:
-        """Reduce a job to its final state once none of its tasks can run."""
+        """Reduce a job to its final state, if that is durable and none of its tasks can run."""
         ...
 
     def free_runs(self, runs: list[TaskRun], exited: bool) -> None:
-        """Record that task attempts are certainly off their machines."""
+        """Record that task attempts no longer run on their machines.
+
+        ``exited``: their worker reported the exit.
+        """
         ...
 
     def finish_runs(self, runs: list[TaskRun]) -> None:
-        """Record that task attempts completed."""
+        """Record that task attempts completed successfully."""
         ...
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
-        """Complete tasks of a job, by attempts here (``runs``) or in another shard."""
+        """Record that tasks of a job completed.
+
+        ``runs`` are their attempts in this shard; empty if another shard ran them.
+        """
         ...
 
     def agent_epoch_ended(self, machine: Machine) -> None:
-        """Free all tasks of a machine whose worker has killed them."""
+        """Free all tasks of a machine: its worker has killed them and dropped their state."""
         ...
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -1,7 +1,8 @@
-"""Users' requests to a shard: submissions, queries and cancellations.
+"""Handles users' requests to a shard: submissions, status queries and cancellations.
 
-No answer tells what is not durable. An answer that rests on a record waits for it, and
-is given up at once when the key-value store takes no writes.
+Responses contain durable state only. A response that depends on a record is sent once
+the record is durable; if the key-value store accepts no writes, the request is refused
+at once.
 """
 
 from __future__ import annotations
@@ -25,17 +26,21 @@
 log = logging.getLogger(__name__)
 
 MAX_LOG_LAG_FOR_REQUESTS_S = 2.0
-"""Nothing is accepted that becomes durable much later: users wait 5 s for an answer."""
+"""Above this lag of the write-ahead log, in seconds, requests that write are refused.
+
+Users wait 5 s for a response, which is sent only after the write is durable.
+"""
 REJECTED_RETRY_AFTER_S = 1
-"""After this a submission that cannot be judged yet may be repeated."""
+"""Retry-After of a submission that cannot be accepted or rejected yet, in seconds."""
 FINAL_STATE_NAMES = {FINISHED: users.DONE, CANCELLED: users.CANCELLED}
+"""Final states of jobs as users see them."""
 
 
 class JobRequests:
-    """Answers users' requests from the cluster state of one term."""
+    """Answers users' requests from the cluster state of one leader term."""
 
     def __init__(self, scheduler: ReplyingScheduler) -> None:
-        """Answer in the name of ``scheduler``."""
+        """Handle requests for ``scheduler``."""
         self._scheduler = scheduler
         self._cluster = scheduler.cluster
         self._first_submission_logged = False
@@ -45,10 +50,12 @@
     def submit(
         self, spec: Submission, reply_to: Any, wall_time: float, forwarded_by_home: bool = False
     ) -> None:
-        """Accept, refuse or forward a submission; a repeated one is answered as the first.
+        """Accept, reject or forward a submission.
 
-        ``wall_time`` is now, in seconds since the epoch. ``forwarded_by_home``: the shard
-        where the job's id belongs has recorded that this one decides for the job.
+        A submission whose job id is known is answered with the state of that job.
+        ``wall_time`` is the current time in seconds since the Unix epoch.
+        ``forwarded_by_home``: the home shard of the job id has recorded that this shard
+        decides about the job.
         """
         scheduler = self._scheduler
         if self._reply_if_final(spec.id, reply_to, users.state_body):
@@ -60,7 +67,7 @@
         if job is not None:
             self._reply_to_repeated_submission(job, reply_to)
             return
-        if self._reject(spec, reply_to):
+        if self._reply_if_rejected(spec, reply_to):
             return
         if not self._can_write():
             scheduler.reply_unavailable(reply_to)
@@ -69,7 +76,7 @@
         if (
             sharding is not None
             and not forwarded_by_home
-            and self._decided_elsewhere(sharding, spec, reply_to)
+            and self._reply_if_decided_elsewhere(sharding, spec, reply_to)
         ):
             return
         self._accept(spec, reply_to, wall_time)
@@ -83,24 +90,26 @@
         else:
             scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
 
-    def _reject(self, spec: Submission, reply_to: Any) -> bool:
-        """Answer a submission that cannot be taken, and tell whether it was one.
+    def _reply_if_rejected(self, spec: Submission, reply_to: Any) -> bool:
+        """Answer a submission that cannot be accepted; return whether it was answered.
 
-        This works while the store takes no writes, too: nothing has to be recorded.
+        A rejection writes no record, so this works while the store accepts no writes.
         """
         scheduler = self._scheduler
-        refused = rejection(self._cluster, spec, scheduler.counted_resources)
-        if refused is None:
+        rejected = rejection(self._cluster, spec, scheduler.counted_resources)
+        if rejected is None:
             return False
-        status, reason = refused
+        status, reason = rejected
         retry_after = REJECTED_RETRY_AFTER_S if status == 503 else 0
         scheduler.reply(reply_to, status, users.error_body(reason), retry_after)
         return True
 
-    def _decided_elsewhere(self, sharding: ShardingView, spec: Submission, reply_to: Any) -> bool:
-        """Answer a submission that is not this shard's to decide; tell whether it was one."""
+    def _reply_if_decided_elsewhere(
+        self, sharding: ShardingView, spec: Submission, reply_to: Any
+    ) -> bool:
+        """Answer a submission that another shard decides about; return whether it was answered."""
         if not sharding.is_home(spec.id):
-            # Sent by a node that goes by an older shard map.
+            # The node that routed the request uses an older shard map.
             self._scheduler.reply_unavailable(reply_to)
             return True
         shard = sharding.deciding_shard(spec)
@@ -110,18 +119,19 @@
         return True
 
     def _forward_to_shard(self, spec: Submission, shard: int, reply_to: Any) -> None:
-        """Record here, where the job's id leads, that another shard decides for the job.
+        """Record in the job's home shard that another shard decides about the job.
 
-        Only once that is durable may that shard be asked, or two might take the job.
+        The redirect to that shard is sent only after the record is durable, or two shards
+        could accept the job.
         """
         scheduler, cluster = self._scheduler, self._cluster
-        final = FORWARDED + shard
+        final_state = FORWARDED + shard
 
         def durable() -> None:
-            cluster.final_states[spec.id] = final
+            cluster.final_states[spec.id] = final_state
 
-        scheduler.append_records([records.final_state_record(spec.id, final)], durable)
-        scheduler.unsaved_final_states.append((spec.id, final))
+        scheduler.append_records([records.final_state_record(spec.id, final_state)], durable)
+        scheduler.unsaved_final_states.append((spec.id, final_state))
         scheduler.reply_when_durable(reply_to, 421, {"share": shard})
 
     def _accept(self, spec: Submission, reply_to: Any, wall_time: float) -> None:
@@ -149,7 +159,7 @@
             self._first_submission_logged = True
             log.info("first submission of this term is durable")
 
-    # -- queries ------------------------------------------------------------------------
+    # -- status queries -----------------------------------------------------------------
 
     def status(
         self,
@@ -158,17 +168,18 @@
         forwarded_by_home: bool = False,
         shard_map_version: int = 0,
     ) -> None:
-        """Answer how far a job is.
+        """Answer a query for the status of a job.
 
-        ``shard_map_version`` is of the map by which the asking node chose this shard;
-        0: it had none.
+        ``forwarded_by_home``: the home shard of the job id has recorded that this shard
+        decides about the job. ``shard_map_version`` is the version of the shard map with
+        which the request was routed here; 0 if the routing node had no map.
         """
         scheduler = self._scheduler
         if self._reply_if_final(job_id, reply_to, users.status_body):
             return
         job = self._cluster.job_by_id.get(job_id)
         ended = job is not None and self._final_state(job) is not None
-        # What is final stays true whoever leads.
+        # A durable final state remains valid under any later leader.
         if not ended and not scheduler.lease.may_answer(scheduler.now):
             scheduler.reply_unavailable(reply_to)
         elif job is None:
@@ -180,30 +191,31 @@
             scheduler.reply(reply_to, 200, body)
 
     def state(self, job: Job) -> str:
-        """Return a job's state as users may learn it: only what is durable."""
-        final = self._final_state(job)
-        if final is not None:
-            return final
+        """Return a job's state for a response; a final state only once it is durable."""
+        final_state = self._final_state(job)
+        if final_state is not None:
+            return final_state
         return users.RUNNING if job.running() else users.PENDING
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """Return the least that users have been told of a job.
+        """Return the last state of a job that users may have been sent.
 
-        That is its final state, PENDING if it was accepted, or None if it is not known.
-        Any thread may ask: single values are read.
+        That is its durable final state, PENDING if the job is open or another shard
+        decides about it, or None if the job is not known. Safe to call from any thread,
+        since it only reads single values.
         """
-        # In this order: an ended job is among the final states before it leaves the jobs.
+        # The order matters: an ended job enters final_states before it is removed from job_by_id.
         job = self._cluster.job_by_id.get(job_id)
-        final = self._cluster.final_states.get(job_id)
-        if final is not None:
-            return FINAL_STATE_NAMES.get(final, users.PENDING)
+        final_state = self._cluster.final_states.get(job_id)
+        if final_state is not None:
+            return FINAL_STATE_NAMES.get(final_state, users.PENDING)
         if job is None:
             return None
         return self._final_state(job) or users.PENDING
 
     @staticmethod
     def _final_state(job: Job) -> str | None:
-        """Return a job's state once it is durable that the job is over, else None."""
+        """Return a job's final state if it is durable, else None."""
         if job.done_durable:
             return users.DONE
         return users.CANCELLED if job.cancel_durable else None
@@ -217,7 +229,10 @@
         forwarded_by_home: bool = False,
         shard_map_version: int = 0,
     ) -> None:
-        """Cancel a job and answer once that is durable; parameters as for ``status``."""
+        """Cancel a job and answer once the cancellation is durable.
+
+        The other parameters are those of ``status``.
+        """
         scheduler = self._scheduler
         if self._reply_if_final(job_id, reply_to, users.state_body):
             return
@@ -233,7 +248,7 @@
             return
         partitioned = job.remote_tasks and job.status == OPEN
         if scheduler.sharding is not None and (partitioned or job.cancel_requested):
-            # Users are answered once every shard that runs a part has ended it.
+            # The user is answered once every shard that runs a part has ended its tasks.
             scheduler.sharding.cancel_partitioned(job, reply_to)
             return
         if job.status == OPEN:
@@ -250,24 +265,24 @@
     def _reply_if_final(
         self, job_id: str, reply_to: Any, body: Callable[[str, str], dict[str, Any]]
     ) -> bool:
-        """Answer if the job is over or another shard decides for it; tell whether it is so."""
-        final = self._cluster.final_states.get(job_id)
-        if final is None:
+        """Answer if the job ended or another shard decides about it; return whether answered."""
+        final_state = self._cluster.final_states.get(job_id)
+        if final_state is None:
             return False
-        if final >= FORWARDED:
-            self._scheduler.reply(reply_to, 421, {"share": final - FORWARDED})
+        if final_state >= FORWARDED:
+            self._scheduler.reply(reply_to, 421, {"share": final_state - FORWARDED})
         else:
-            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_STATE_NAMES[final]))
+            self._scheduler.reply(reply_to, 200, body(job_id, FINAL_STATE_NAMES[final_state]))
         return True
 
     def _reply_unknown_job(
         self, job_id: str, reply_to: Any, forwarded_by_home: bool, shard_map_version: int
     ) -> None:
-        """Answer a request about a job that is not here.
+        """Answer a request about a job that this shard does not have.
 
-        That means that there is none only if the request came by the map in force, or
-        was forwarded by the shard where the job's id leads: nodes that had no map yet,
-        or an older one, once told users that their jobs were unknown.
+        The answer is 404 only if the request was routed with the current shard map or
+        forwarded by the home shard of the job id, and 503 otherwise. Without this check,
+        nodes with no shard map or an older one reported accepted jobs as unknown.
         """
         sharding = self._scheduler.sharding
         if (
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -1,4 +1,4 @@
-"""Deletion of rented machines: requests in batches, and the cloud's answers."""
+"""Deletes rented machines in batches and handles the cloud's responses."""
 
 from __future__ import annotations
 
@@ -11,30 +11,33 @@
 from appleshift.storage import records
 
 DELETION_RETRY_S = 1.0
-"""A deletion that the cloud did not confirm is requested again after this long."""
+"""Seconds after which a deletion that the cloud did not confirm may be retried."""
 
 
 class MachineDeletions:
-    """Machines to be deleted, gathered into as few calls as possible: their rate is limited."""
+    """Queue of machines to delete.
+
+    Deletions are batched, since the rate of calls to the cloud is limited.
+    """
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Begin with nothing to delete."""
+        """Start with an empty queue."""
         self._scheduler = scheduler
         self._pending: list[str] = []
 
     def __len__(self) -> int:
-        """Return how many deletions have not been handed to the cloud."""
+        """Return the number of machines whose deletion has not been emitted yet."""
         return len(self._pending)
 
     def request(self, machines: list[Machine]) -> None:
-        """Delete these machines; those of one step share a call."""
+        """Queue machines for deletion; those of one step are deleted in one call if possible."""
         for machine in machines:
             machine.deletion_requested = True
             machine.retry_deletion_at = math.inf
         self._pending += [machine.name for machine in machines]
 
     def flush(self) -> None:
-        """Emit the calls for what was requested, as long as this node may act."""
+        """Emit deletion calls for the queued machines, if this node is still the leader."""
         scheduler = self._scheduler
         while self._pending and scheduler.lease.may_answer(scheduler.now):
             batch = self._pending[: cloud.MAX_DELETE]
@@ -42,7 +45,10 @@
             scheduler.actions.append(DeleteMachines(tuple(batch)))
 
     def answered(self, names: tuple[str, ...], ok: bool) -> None:
-        """Process a call's result: success proves that machines and tasks are gone."""
+        """Handle the result of a deletion call.
+
+        Success proves that the machines no longer exist, so no task runs on them.
+        """
         scheduler = self._scheduler
         for name in names:
             machine = scheduler.cluster.machine(name)
@@ -51,15 +57,15 @@
             if not ok:
                 machine.retry_deletion_at = scheduler.now + DELETION_RETRY_S
                 continue
-            self._deleted(machine)
+            self._machine_deleted(machine)
         scheduler.placement_needed = True
 
-    def _deleted(self, machine: Machine) -> None:
+    def _machine_deleted(self, machine: Machine) -> None:
         scheduler = self._scheduler
         scheduler.agent_epoch_ended(machine)
         scheduler.cluster.drop_machine(machine)
         scheduler.fast_path.entries.pop(machine.name, None)
         scheduler.fleet.machine_deleted(machine)
         if machine.addr:
-            # Without an address the machine never reported, so no record of it exists.
+            # A machine without an address never sent a heartbeat, so it has no record.
             scheduler.write_ahead_log.append(records.machine_deleted_record(machine))
--- a/appleshift/scheduler/pending_replies.py
+++ b/appleshift/scheduler/pending_replies.py
@@ -1,4 +1,4 @@
-"""Requests whose answer waits for records to become durable."""
+"""The requests that will be answered once records are durable."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class PendingReplies:
-    """The reply destinations that still wait, by identity and in order of arrival."""
+    """The reply destinations of pending requests, by identity and in order of arrival."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without pending requests."""
         self._by_id: dict[int, Any] = {}
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of pending requests."""
         return len(self._by_id)
 
     def __contains__(self, reply_to: object) -> bool:
-        """Tell whether this very destination waits."""
+        """Return whether this object, compared by identity, is pending."""
         return self._by_id.get(id(reply_to)) is reply_to
 
     def add(self, reply_to: Any) -> None:
-        """Keep a destination until it is answered."""
+        """Add a reply destination until it is answered."""
         self._by_id[id(reply_to)] = reply_to
 
     def discard(self, reply_to: Any) -> None:
-        """Forget a destination that has its answer."""
+        """Remove a reply destination that was answered."""
         self._by_id.pop(id(reply_to), None)
 
-    def snapshot(self) -> list[Any]:
-        """Return the destinations that wait, safe against answers given meanwhile."""
+    def destinations(self) -> list[Any]:
+        """Return a copy of the pending destinations, safe to iterate while they are removed."""
         return list(self._by_id.values())
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -1,4 +1,4 @@
-"""What is checked a few times a second: leases, tasks of ended jobs, fleet, log size."""
+"""Checks that run a few times a second: leases, tasks of ended jobs, fleet and log size."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 log = logging.getLogger(__name__)
 
 CANCEL_TIME_SHARE_BEFORE_DELETION = 0.6
-"""Fraction of the platform's time to cancel a task after which its machine is deleted."""
+"""Share of the cancellation deadline (``cancel_s``) after which a machine is deleted whose
+task has not stopped."""
 RECENT_HEARTBEAT_S = 3 * RESEND_INTERVAL_S
-"""A machine heard within this time is sent its stop commands again."""
+"""Stop commands are sent again to a machine that was heard within this time, in seconds."""
 
 
 class PeriodicChecks:
-    """The scheduler's tick."""
+    """The checks of the scheduler's tick."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
         """Check the cluster state of ``scheduler``."""
@@ -31,13 +32,13 @@
         self._expire_leases()
         for job in scheduler.cluster.jobs.values():
             if job.runs and (job.cancel_durable or job.done_durable):
-                self._stop_runs_of_ended(job)
+                self._stop_runs_of_ended_job(job)
         if scheduler.lease.may_answer(scheduler.now):
-            # A leader that was cut off knows nothing of its machines: once one
-            # ordered 425 deletions, which arrived when the partition healed.
+            # A partitioned leader has no current data about its machines. One ordered
+            # 425 deletions, which were carried out when the partition healed.
             scheduler.fleet.tick(scheduler.now)
         if scheduler.fleet.shortages:
-            # Room also comes back with time: pauses and backoffs end.
+            # Capacity can also become available as time passes: backoffs expire.
             scheduler.placement_needed = True
         self._snapshots.start_if_due()
 
@@ -46,14 +47,14 @@
         for machine in list(scheduler.cluster.machines.values()):
             scheduler.liveness.apply_fast_path(machine)
             expired = machine.runs and machine.lease_until < scheduler.now and machine.agent_epoch
-            # Only a leader may judge: a node that was suspended for 23 s once expired
-            # 600 leases in its first moment, though another one led by then.
+            # Only the leader may expire leases. A node that resumed after being suspended
+            # for 23 s expired 600 leases although another node was the leader.
             if expired and scheduler.lease.may_answer(scheduler.now):
                 log.info("lease expired machine=%s", machine.name)
                 scheduler.agent_epoch_ended(machine)
 
-    def _stop_runs_of_ended(self, job: Job) -> None:
-        """Stop what still runs of a job that is over; a machine that does not is deleted."""
+    def _stop_runs_of_ended_job(self, job: Job) -> None:
+        """Stop the remaining tasks of an ended job; delete a machine whose task does not stop."""
         scheduler = self._scheduler
         delete_after_s = (
             scheduler.settings.deployment.workers.cancel_s * CANCEL_TIME_SHARE_BEFORE_DELETION
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -1,4 +1,4 @@
-"""Runs placement passes: assignments are recorded, and sent once they are durable."""
+"""Runs placement passes, records the assignments and starts the tasks once durable."""
 
 from __future__ import annotations
 
@@ -12,37 +12,41 @@
 from appleshift.storage import records
 
 MAX_LOG_LAG_FOR_PLACEMENT_S = 1.0
-"""No pass while records wait longer: the log is left to what users wait for."""
+"""Above this lag of the write-ahead log, in seconds, no placement pass runs.
+
+The log is then left to the records that responses to users depend on.
+"""
 MAX_HEARTBEAT_AGE_INTERVALS = 2.5
+"""Tasks are placed only on machines that were heard within this many heartbeat intervals."""
 MAX_HEARTBEAT_AGE_MARGIN_S = 0.5
-"""Only machines heard within so many heartbeat intervals, and this, are given tasks."""
+"""Added to the maximum heartbeat age, in seconds."""
 
 
 class PlacementRunner:
-    """Places pending tasks on the machines of one term."""
+    """Runs placement passes over the pending tasks of one leader term."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Place the jobs of ``scheduler``."""
+        """Place the tasks of ``scheduler``."""
         self._scheduler = scheduler
 
     def run(self) -> None:
-        """Run one pass, unless the write-ahead log lags behind."""
+        """Run one placement pass, or postpone it if the write-ahead log lags too much."""
         scheduler = self._scheduler
         scheduler.placement_needed = False
         scheduler.last_placement_at = scheduler.now
         if scheduler.write_ahead_log.lag_s() > MAX_LOG_LAG_FOR_PLACEMENT_S:
             scheduler.placement_needed = True
             return
-        result = self._placer().run(scheduler.operator.preempt)
+        result = self._make_placer().run(scheduler.operator.preempt)
         for placement in result.placements:
-            self._record(placement)
+            self._record_assignment(placement)
         for run in result.preempted:
             self._preempt(run)
         scheduler.fleet.shortages = result.shortages
-        # Tasks that wait for room that is being made are considered again soon.
+        # Replicas for which capacity is being freed need another pass soon.
         scheduler.placement_needed = scheduler.placement_needed or result.waiting_for_room > 0
 
-    def _placer(self) -> FirstFitPlacer:
+    def _make_placer(self) -> FirstFitPlacer:
         scheduler = self._scheduler
         report_s = scheduler.settings.deployment.workers.report_s
         heard_after = (
@@ -58,8 +62,8 @@
             None if counted is None else counted.begin_pass(scheduler.now),
         )
 
-    def _record(self, placement: Placement) -> None:
-        """Record an assignment; its start commands go out once that is durable."""
+    def _record_assignment(self, placement: Placement) -> None:
+        """Record an assignment; its start commands are sent once the record is durable."""
         job, machine = placement.job, placement.machine
         machine.idle_since = 0.0
         runs = [job.runs[task] for task in placement.tasks]
@@ -81,10 +85,10 @@
         self._scheduler.commands.schedule_send(machine)
 
     def _preempt(self, run: TaskRun) -> None:
-        grace = stop_grace_s(run)
-        # The placer has set the grace, which would make stop_run ignore this order.
+        grace_s = stop_grace_s(run)
+        # The placer has already set the grace, because of which stop_run would ignore the order.
         run.stop_grace_s = None
         if run.job.gang:
-            self._scheduler.stop_gang(run.job, grace, "preempt")
+            self._scheduler.stop_gang(run.job, grace_s, "preempt")
         else:
-            self._scheduler.stop_run(run, grace, "preempt")
+            self._scheduler.stop_run(run, grace_s, "preempt")
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -1,7 +1,7 @@
-"""Reconciles the cluster state with what workers report in heartbeats.
+"""Reconciles the cluster state with the task lists in workers' heartbeats.
 
-A worker's list of tasks is the truth about its machine. An assigned task that is not
-in it has ended, unless its start command may still be under way.
+A worker's task list is authoritative for its machine. An assigned task that is missing
+from the list has ended, unless its start command may still arrive.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 log = logging.getLogger(__name__)
 
 UNKNOWN_TASK_BACKOFF_S = 1.0
-"""A job avoids a machine for this long whose worker did not know its task."""
+"""Seconds for which a job avoids a machine that reported a task of it as unknown."""
 START_REFUSED_BACKOFF_S = 3.0
-"""A job avoids a machine for this long whose worker had no room for its task."""
+"""Seconds for which a job avoids a machine that had no room for a task of it."""
 
 
 class HeartbeatReconciler:
-    """Applies heartbeats to the task attempts of one term."""
+    """Applies heartbeats to the task attempts of one leader term."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Work on the cluster state of ``scheduler``."""
+        """Update the cluster state of ``scheduler``."""
         self._scheduler = scheduler
 
     def reconcile(self, machine: Machine, heartbeat: Heartbeat) -> None:
@@ -39,7 +39,7 @@
         machine.seq = heartbeat.seq
         machine.last_heard = scheduler.now
         scheduler.fleet.heartbeat_received(machine, heartbeat)
-        fenced = heartbeat.fencing_token >= scheduler.fencing_token_for(machine)
+        token_seen = heartbeat.fencing_token >= scheduler.fencing_token_for(machine)
         finished: list[TaskRun] = []
         exited: list[TaskRun] = []
         reported: set[tuple[str, int]] = set()
@@ -48,10 +48,10 @@
             reported.add(key)
             run = machine.runs.get(key)
             if run is None:
-                self._unknown_run_reported(machine, status)
+                self._record_unknown_run(machine, status)
             else:
                 self._update_run(machine, run, status, finished, exited)
-        self._drop_unreported(machine, reported, fenced, exited)
+        self._drop_unreported_runs(machine, reported, token_seen, exited)
         if finished:
             scheduler.finish_runs(finished)
         if exited:
@@ -66,12 +66,15 @@
         scheduler.agent_epoch_ended(machine)
         machine.agent_epoch = agent_epoch
         machine.seq = -1
-        # The lease of the new epoch runs from the epoch's begin, which is earlier than
-        # now. The end of the previous epoch's lease must not be taken for this one's.
+        # The lease of the new epoch began with the epoch, which is earlier than now. The
+        # expiry of the previous epoch's lease must not apply to the new epoch.
         machine.lease_until = max(machine.lease_until, scheduler.now + scheduler.worker_lease_s)
 
-    def _unknown_run_reported(self, machine: Machine, status: TaskStatus) -> None:
-        """Note an attempt that was not assigned here: it is to be stopped, or cleared."""
+    def _record_unknown_run(self, machine: Machine, status: TaskStatus) -> None:
+        """Record a task attempt that was not assigned to the machine.
+
+        The worker is ordered to stop it or, if it has exited, to clear it.
+        """
         key = (status.task, status.attempt)
         if key not in machine.unknown_runs:
             log.info(
@@ -91,13 +94,17 @@
         finished: list[TaskRun],
         exited: list[TaskRun],
     ) -> None:
-        """Apply a task's reported state; an exit goes to ``finished`` or ``exited``."""
-        previous = run.state
+        """Apply the reported state of a task attempt.
+
+        An attempt that succeeded is added to ``finished``, any other that exited to
+        ``exited``.
+        """
+        previous_state = run.state
         state = RUN_STATES.get(status.state)
-        if state is None or previous in (EXITED, state):
+        if state is None or previous_state in (EXITED, state):
             return
         run.state = state
-        if previous == ASSIGNED and run.stop_grace_s is not None:
+        if previous_state == ASSIGNED and run.stop_grace_s is not None:
             self._scheduler.commands.schedule_send(machine)
         if state in (RUNNING, WAITING) and run.running_since == 0.0:
             run.running_since = self._scheduler.now
@@ -117,12 +124,15 @@
         scheduler = self._scheduler
         machine.job_errors.clear()
         if run.running_since:
-            run_time = scheduler.now - run.running_since
-            scheduler.cluster.record_run_time(run.job, run_time)
-            scheduler.fleet.health.task_ran(machine, run.job, run_time)
+            run_time_s = scheduler.now - run.running_since
+            scheduler.cluster.record_run_time(run.job, run_time_s)
+            scheduler.fleet.health.task_ran(machine, run.job, run_time_s)
 
     def _run_failed(self, machine: Machine, run: TaskRun, reason: str) -> None:
-        """Learn from an exit; one that was ordered says nothing about machine or job."""
+        """Record the failure of a task attempt.
+
+        An exit that was ordered does not count against the machine or the job.
+        """
         if reason == "error":
             self._scheduler.fleet.health.task_failed(machine, run.job)
         elif reason in ("no_room", "in_use", "unknown"):
@@ -133,25 +143,26 @@
             run.job.avoided_machines[machine.index] = self._scheduler.now + backoff_s
 
     @staticmethod
-    def _drop_unreported(
-        machine: Machine, reported: set[tuple[str, int]], fenced: bool, exited: list[TaskRun]
+    def _drop_unreported_runs(
+        machine: Machine, reported: set[tuple[str, int]], token_seen: bool, exited: list[TaskRun]
     ) -> None:
-        """Drop attempts that the worker does not list; live ones go to ``exited``.
+        """Drop task attempts that the worker did not report.
 
-        ``fenced``: the worker has seen this term's fencing token, so that no start
-        command of an earlier leader can take effect any more.
+        Those that had not exited before are added to ``exited``. ``token_seen``: the worker
+        has seen the fencing token of this term, so it rejects start commands of earlier
+        leaders.
         """
         for key, run in list(machine.runs.items()):
             if key in reported:
                 continue
             if run.state == ASSIGNED and run.ordered_this_term:
-                # The start may still be under way; it is repeated until it is reported.
+                # The start command may still arrive; it is sent again until the task is reported.
                 continue
-            if run.state == ASSIGNED and not fenced:
-                # An earlier leader's start may still arrive.
+            if run.state == ASSIGNED and not token_seen:
+                # A start command of an earlier leader may still take effect.
                 continue
             if run.state == EXITED and run.unconfirmed_starts:
-                # A direct start got no answer and may still arrive: the attempt stays known.
+                # A direct start command got no response and may still arrive: keep the attempt.
                 continue
             del machine.runs[key]
             if run.state != EXITED:
@@ -161,7 +172,7 @@
             del machine.unknown_runs[key]
 
     def agent_epoch_ended(self, machine: Machine) -> None:
-        """Free all tasks of a machine: its worker has killed and forgotten them."""
+        """Free all tasks of a machine: its worker has killed them and dropped their state."""
         if machine.fast_path_entry is not None:
             machine.fast_path_entry.expected = None
         runs = list(machine.runs.values())
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -1,11 +1,11 @@
-"""The scheduler of one leader term: events and time in, actions out.
+"""The scheduler of one leader term: handles events and timers, and emits actions.
 
-It is built when an election is won, from what the key-value store holds, and thrown
-away when leadership ends. A single routine owns it, so that nothing here is locked.
-Whatever a user, worker or machine is told rests on records that are durable by then.
+A scheduler is built from the contents of the key-value store when an election is won, and
+discarded when leadership ends. It is used by a single thread and needs no locks. Responses
+to users and commands to workers depend on durable records only.
 
-``Scheduler`` owns the state and is the only way to it; each of its parts has a module
-of its own and calls back through the public methods.
+``Scheduler`` owns the state of the term. Each of its parts has its own module and uses
+the state through the public methods of ``Scheduler``.
 """
 
 from __future__ import annotations
@@ -40,24 +40,33 @@
 from appleshift.storage.records import LogReplayer, Record
 
 LEASE_MARGIN_S = 0.25
-"""Workers' leases are taken to last this much longer than they do, beside clock drift."""
+"""Added to the duration of workers' leases, in seconds, on top of clock drift."""
 PLACEMENT_TIME_SHARE = 0.5
+"""Maximum share of the time for placement passes.
+
+The rest is left to heartbeats, on which leases depend, and to users' requests.
+"""
 TICK_TIME_SHARE = 0.3
-"""Fractions of the time that placement passes and periodic checks may take. Heartbeats,
-on which leases depend, and users' requests are handled between them."""
+"""Maximum share of the time for periodic checks."""
 TICK_INTERVAL_S = 0.25
+"""Minimum interval between periodic checks, in seconds."""
 PLACEMENT_INTERVAL_S = 0.02
+"""Minimum interval between placement passes in an empty cluster, in seconds."""
 PLACEMENT_INTERVAL_PER_MACHINE_S = 1e-4
-"""A pass examines every machine, so that larger clusters place less often; what frees
-room in between is taken into account by one and the same pass."""
+"""Added to the placement interval per machine, in seconds.
+
+A pass examines every machine, so larger clusters run fewer passes. One pass handles all
+capacity that was freed since the last one.
+"""
 UNAVAILABLE_RETRY_AFTER_S = 1
+"""Retry-After of responses with status 503, in seconds."""
 
 
 class Scheduler:
-    """Jobs, machines and every decision of one term."""
+    """The cluster state of one leader term and the decisions about it."""
 
     def __init__(self, dependencies: SchedulerDependencies) -> None:
-        """Begin a term: restore the recovered state and the assignments in it."""
+        """Start a term: restore the recovered cluster state and its task assignments."""
         self.settings = dependencies.settings
         self.operator = dependencies.operator
         self.lease = dependencies.lease
@@ -66,12 +75,12 @@
         self.write_ahead_log = dependencies.write_ahead_log
         self.counted_resources = dependencies.counted_resources
         self.sharding = dependencies.sharding
-        # About to be handed over: nothing new is accepted or started.
+        # The shard is about to be handed over: no job is accepted and no task started.
         self.draining = False
-        # The key-value store takes no writes right now.
+        # The key-value store currently accepts no writes.
         self.writes_stalled = False
         self.actions: deque[Action] = deque()
-        # Only measures how long work takes; decisions go by ``now``.
+        # Only measures how long work takes; decisions use ``now``.
         self.clock = dependencies.clock
         self.now = now = self.clock()
         self.started_at = now
@@ -110,30 +119,33 @@
     # -- replies ----------------------------------------------------------------------
 
     def reply(self, reply_to: Any, status: int, body: Any, retry_after: int = 0) -> None:
-        """Answer a request now; None as ``reply_to``: nobody waits.
+        """Answer a request now; does nothing if ``reply_to`` is None.
 
-        ``retry_after`` is in seconds, 0 for none.
+        ``retry_after`` is in seconds, or 0 to omit it.
         """
         if reply_to is not None:
             self.pending_replies.discard(reply_to)
             self.actions.append(Reply(reply_to, status, body, retry_after))
 
     def add_pending_reply(self, reply_to: Any) -> None:
-        """Keep a request that is answered later, or refused if commits stall meanwhile."""
+        """Register a request that is answered later, or refused if commits stall before."""
         self.pending_replies.add(reply_to)
 
     def reply_if_pending(self, reply_to: Any, status: int, body: Any) -> None:
-        """Answer a request that was held, unless it has been refused meanwhile."""
+        """Answer a request registered with ``add_pending_reply``, unless it was refused."""
         if reply_to in self.pending_replies:
             self.reply(reply_to, status, body)
 
     def reply_when_durable(self, reply_to: Any, status: int, body: Any) -> None:
-        """Answer once all records appended so far are durable, unless commits stall."""
+        """Answer a request once all records appended so far are durable.
+
+        The request is refused if commits stall before.
+        """
         self.add_pending_reply(reply_to)
         self.write_ahead_log.append(None, lambda: self.reply_if_pending(reply_to, status, body))
 
     def reply_unavailable(self, reply_to: Any) -> None:
-        """Answer 503: the request may be repeated."""
+        """Answer a request with 503 and a time after which to retry."""
         body = users.error_body("not available right now")
         self.reply(reply_to, 503, body, UNAVAILABLE_RETRY_AFTER_S)
 
@@ -148,28 +160,28 @@
         self.write_ahead_log.append(records[-1] if records else None, on_durable)
 
     def commit_succeeded(self, revision: int) -> None:
-        """Run what waited for the transaction that was committed at ``revision``."""
+        """Run the callbacks of the records that were committed at ``revision``."""
         self.writes_stalled = False
         self.write_ahead_log.committed(revision)
 
     def commit_stalled(self) -> None:
-        """Refuse all held requests: the key-value store takes no writes.
+        """Refuse all pending requests: the key-value store accepts no writes.
 
-        What was appended may become durable yet; whoever asks again then learns so.
+        Appended records may still become durable; a repeated request then shows them.
         """
         self.writes_stalled = True
         self._refuse_pending_replies()
 
     def end_term(self) -> None:
-        """Refuse all held requests: the term is over."""
+        """Refuse all pending requests: the term has ended."""
         self._refuse_pending_replies()
 
     def _refuse_pending_replies(self) -> None:
-        for reply_to in self.pending_replies.snapshot():
+        for reply_to in self.pending_replies.destinations():
             self.reply_unavailable(reply_to)
 
     def take_actions(self) -> list[Action]:
-        """Return the actions decided since the last call, oldest first."""
+        """Return and remove the actions decided since the last call, oldest first."""
         taken = list(self.actions)
         self.actions.clear()
         return taken
@@ -177,46 +189,52 @@
     # -- jobs ---------------------------------------------------------------------------
 
     def job_arrived(self, spec: Submission) -> None:
-        """Count a submission among the arrivals that the fleet plans for."""
+        """Record a submission in the arrival history, from which capacity is planned."""
         self.fleet.job_arrived(spec, self.now)
 
     def job_cancelled(self, job: Job) -> None:
-        """Stop all tasks of a job whose cancellation is durable."""
+        """Stop all tasks of a job after its cancellation became durable."""
         job.cancel_durable = True
         self.stop_job(job)
         self.retire_if_ended(job)
 
     def stop_job(self, job: Job) -> None:
-        """Order all tasks of a job to stop at once."""
+        """Order all tasks of a job to stop without a grace period."""
         self._task_termination.stop_all(job, 0.0, "cancel")
 
     def retire_if_ended(self, job: Job) -> None:
-        """Reduce a job to its final state once that is durable and nothing of it can run."""
+        """Reduce a job to its final state, if that is durable and none of its tasks can run."""
         self._task_termination.retire_if_ended(job)
 
     # -- task attempts --------------------------------------------------------------------
 
     def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
-        """Order a task to stop within ``grace`` seconds; a shorter grace replaces a longer."""
+        """Order a task to stop within ``grace`` seconds.
+
+        A repeated order only takes effect if its grace is shorter.
+        """
         self._task_termination.stop(run, grace, reason)
 
     def stop_gang(self, job: Job, grace: float, reason: str) -> None:
-        """Order all tasks of a gang to stop in the same moment, or their checkpoint fails."""
+        """Order all tasks of a gang to stop at the same time, or their checkpoint fails."""
         self._task_termination.stop_all(job, grace, reason)
 
     def free_runs(self, runs: list[TaskRun], exited: bool) -> None:
-        """Record that attempts are certainly off their machines.
+        """Record that task attempts no longer run on their machines.
 
         ``exited``: their worker reported the exit.
         """
         self._task_termination.free(runs, exited)
 
     def finish_runs(self, runs: list[TaskRun]) -> None:
-        """Record that attempts completed; their results count once that is durable."""
+        """Record that task attempts completed; they count as completed once durable."""
         self._task_termination.finish(runs)
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
-        """Complete tasks of a job, by attempts here (``runs``) or in another shard."""
+        """Record that tasks of a job completed.
+
+        ``runs`` are their attempts in this shard; empty if another shard ran them.
+        """
         self._task_termination.complete_tasks(job, tasks, runs)
 
     # -- workers --------------------------------------------------------------------------
@@ -224,18 +242,19 @@
     def heartbeat_received(
         self, heartbeat: Heartbeat, reply_to: Any, tasks: bytes | None = None
     ) -> None:
-        """Apply a heartbeat, renew the machine's lease and answer with its commands.
+        """Apply a heartbeat, renew the machine's lease and respond with its commands.
 
-        ``tasks`` is the task list as it was sent, by which an unchanged heartbeat is
-        recognized without decoding; None: not known.
+        ``tasks`` is the encoded task list of the heartbeat, from which the fast path
+        recognizes an unchanged heartbeat without decoding it; None if not available.
         """
-        self._heartbeat_requests.received(heartbeat, reply_to, tasks)
+        self._heartbeat_requests.handle(heartbeat, reply_to, tasks)
 
     def fencing_token_for(self, machine: Machine) -> int:
-        """Return the token for a machine's worker: never less than another shard gave it.
+        """Return the fencing token to use for commands to a machine's worker.
 
-        No other leader commands the machine with that token any more: its former one
-        recorded that it handed the machine off, and any later one there reads that.
+        It is never lower than the token of the shard that handed the machine off. No other
+        leader uses that token for the machine: the former leader recorded the hand-off,
+        and its successors in that shard read the record.
         """
         return max(self.fencing_token, machine.min_fencing_token)
 
@@ -244,17 +263,18 @@
         self._reconciler.reconcile(machine, heartbeat)
 
     def agent_epoch_ended(self, machine: Machine) -> None:
-        """Free all tasks of a machine: its worker has killed and forgotten them."""
+        """Free all tasks of a machine: its worker has killed them and dropped their state."""
         self._reconciler.agent_epoch_ended(machine)
 
     def probe_answered(self, name: str, heartbeat: Heartbeat | None) -> None:
-        """Process the result of a probe; None: the worker did not answer."""
+        """Handle the result of a probe; ``heartbeat`` is None if the worker did not answer."""
         self.fleet.health.probed(name, heartbeat is not None)
         machine = self.cluster.machine(name)
         if machine is None or heartbeat is None:
             return
         if machine.in_other_shard:
-            # It is up, though its shard has not said so yet: the boot is not late.
+            # The machine is up, although the shard that uses it has not reported that yet.
+            # Restart the boot timeout.
             machine.rented_at = self.now
         elif heartbeat.agent_epoch >= machine.agent_epoch:
             self.reconcile(machine, heartbeat)
@@ -262,17 +282,20 @@
     # -- the cloud --------------------------------------------------------------------------
 
     def delete_machines(self, machines: list[Machine]) -> None:
-        """Delete rented machines; those of one step share a call."""
+        """Delete rented machines; those of one step are deleted in one call if possible."""
         self.machine_deletions.request(machines)
 
     def deletion_answered(self, names: tuple[str, ...], ok: bool) -> None:
-        """Process a deletion's result: success proves that machines and tasks are gone."""
+        """Handle the result of a deletion call.
+
+        ``ok`` proves that the machines no longer exist, so no task runs on them.
+        """
         self.machine_deletions.answered(names, ok)
 
     # -- time -------------------------------------------------------------------------------
 
     def step(self, now: float, wall_time: float) -> None:
-        """Do what is due: placement, leases, the fleet, commands, snapshots."""
+        """Run periodic checks and a placement pass if due, and send due commands."""
         self.now, self.wall_time = now, wall_time
         if now >= self.next_tick_at and self._tick_budget.due():
             self.next_tick_at = now + TICK_INTERVAL_S
@@ -290,10 +313,10 @@
 
     def _placement_due(self) -> bool:
         machines = len(self.cluster.machines)
-        interval = PLACEMENT_INTERVAL_S + PLACEMENT_INTERVAL_PER_MACHINE_S * machines
+        interval_s = PLACEMENT_INTERVAL_S + PLACEMENT_INTERVAL_PER_MACHINE_S * machines
         return (
             self.placement_needed
-            and self.now - self.last_placement_at >= interval
+            and self.now - self.last_placement_at >= interval_s
             and self._placement_budget.due()
         )
 
--- a/appleshift/scheduler/snapshot_trigger.py
+++ b/appleshift/scheduler/snapshot_trigger.py
@@ -1,4 +1,4 @@
-"""Decides when the write-ahead log is replaced by a snapshot."""
+"""Decides when a snapshot replaces the write-ahead log."""
 
 from __future__ import annotations
 
@@ -11,24 +11,28 @@
 log = logging.getLogger(__name__)
 
 MIN_TERM_AGE_FOR_SNAPSHOT_S = 5.0
-"""A term takes no snapshot before this age: users and workers come first when it begins.
+"""Minimum age of a term for a snapshot, in seconds.
 
-The log that a leader found counts towards the next snapshot, or a log over which leaders
-change would grow without bound.
+At the start of a term, users and workers take precedence. The size of the log that a new
+leader recovers counts towards its next snapshot; otherwise the log would grow without
+bound if the leader changes often.
 """
 MAX_LOG_LAG_FOR_SNAPSHOT_S = 0.1
-"""No snapshot while records wait longer: the log is left to what users wait for."""
+"""Above this lag of the write-ahead log, in seconds, no snapshot starts.
+
+The log is then left to the records that responses to users depend on.
+"""
 
 
 class SnapshotTrigger:
-    """Starts a snapshot once the log has grown beyond the operator's limit."""
+    """Starts a snapshot when the log exceeds the size that the operator set."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Watch the write-ahead log of ``scheduler``."""
+        """Monitor the write-ahead log of ``scheduler``."""
         self._scheduler = scheduler
 
     def start_if_due(self) -> None:
-        """Start a snapshot if the log is long, writes are fast and the term is settled."""
+        """Start a snapshot if the log is large, does not lag, and the term is old enough."""
         if self._is_due():
             self._start()
 
@@ -49,13 +53,16 @@
         scheduler.unsaved_final_states = []
         counted = scheduler.counted_resources
         definitions = None if counted is None else counted.definition_records()
-        live = records.live_records(
+        live_records = records.live_records(
             scheduler.cluster, scheduler.fleet.spot_group_names(), definitions
         )
-        log.info("snapshot started records=%d ended_jobs=%d", len(live), len(final_states))
+        log.info("snapshot started records=%d ended_jobs=%d", len(live_records), len(final_states))
         if counted is None:
-            scheduler.write_ahead_log.start_snapshot(live, final_states)
+            scheduler.write_ahead_log.start_snapshot(live_records, final_states)
         else:
             scheduler.write_ahead_log.start_snapshot(
-                live, final_states, counted.unsaved_audit_entries, counted.audit_pages
+                live_records,
+                final_states,
+                counted.unsaved_audit_entries,
+                counted.audit_pages,
             )
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -1,4 +1,4 @@
-"""Sets up a new term from what an earlier leader left in the write-ahead log."""
+"""Restores the cluster state of a new term from the records of earlier leaders."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def restore_state(scheduler: FullSchedulerView, replayer: LogReplayer, wall_time: float) -> None:
-    """Take over the recovered state; ``wall_time`` is now, in seconds since the epoch.
+    """Initialize a new term's scheduler with the recovered state.
 
-    Recorded assignments stay where they are until there is proof that they ended.
+    ``wall_time`` is the current time in seconds since the Unix epoch. Recorded task
+    assignments remain valid until there is proof that the tasks ended.
     """
     cluster = scheduler.cluster
     counted = scheduler.counted_resources
@@ -21,7 +22,7 @@
     if counted is not None:
         counted.end_recovery()
     for submitted, spec in sorted(replayer.arrivals, key=lambda entry: entry[0]):
-        # Arrivals under earlier leaders still tell how much work is to be expected.
+        # Submissions of earlier terms are part of the arrival history for capacity planning.
         scheduler.fleet.job_arrived(spec, scheduler.now - max(0.0, wall_time - submitted))
     _restore_machines(scheduler)
     for job in list(cluster.jobs.values()):
@@ -37,7 +38,7 @@
         if job is None or job.done[task]:
             continue
         if machine is None:
-            # The machine's deletion was recorded: the task ended with it.
+            # The deletion of the machine was recorded, and the task ended with it.
             continue
         machine.agent_epoch = max(machine.agent_epoch, agent_epoch)
         run = cluster.assign(job, task, attempt, machine, agent_epoch)
--- a/appleshift/scheduler/task_termination.py
+++ b/appleshift/scheduler/task_termination.py
@@ -1,7 +1,7 @@
-"""The end of task attempts: stop commands, proof of exit, completion, end of jobs.
+"""Ends task attempts: orders stops, records exits and completions, and retires jobs.
 
-A task counts as completed, and its room as free for good, only once the record that
-says so is durable.
+A task counts as completed, and its capacity as permanently free, only once the record of
+that is durable.
 """
 
 from __future__ import annotations
@@ -18,55 +18,55 @@
 
 
 class TaskTermination:
-    """Stops, frees and completes task attempts of one term."""
+    """Stops, frees and completes task attempts of one leader term."""
 
     def __init__(self, scheduler: FullSchedulerView) -> None:
-        """Work on the cluster state of ``scheduler``."""
+        """Update the cluster state of ``scheduler``."""
         self._scheduler = scheduler
         self._cluster = scheduler.cluster
 
     # -- stops ----------------------------------------------------------------------
 
-    def stop(self, run: TaskRun, grace: float, reason: str) -> None:
-        """Order a task to stop within ``grace`` seconds.
+    def stop(self, run: TaskRun, grace_s: float, reason: str) -> None:
+        """Order a task to stop within ``grace_s`` seconds.
 
-        An order replaces an earlier one only with a shorter grace.
+        A repeated order only takes effect if its grace is shorter.
         """
-        if run.state == EXITED or (run.stop_grace_s is not None and run.stop_grace_s <= grace):
+        if run.state == EXITED or (run.stop_grace_s is not None and run.stop_grace_s <= grace_s):
             return
         scheduler = self._scheduler
         if run.state == ASSIGNED and run.ordered_this_term and not run.start_sent:
-            # The start was never sent to the worker: nothing can be there.
+            # The start command was never sent, so the worker cannot have the task.
             run.state = EXITED
             run.machine.runs.pop((run.name, run.attempt), None)
             scheduler.free_runs([run], exited=False)
             return
-        run.stop_grace_s = grace
+        run.stop_grace_s = grace_s
         log.debug("task stop ordered task=%s reason=%s", run.name, reason)
         run.stop_ordered_at = scheduler.now
         scheduler.commands.schedule_send(run.machine)
 
-    def stop_all(self, job: Job, grace: float, reason: str) -> None:
-        """Order all tasks of a job to stop within ``grace`` seconds."""
+    def stop_all(self, job: Job, grace_s: float, reason: str) -> None:
+        """Order all tasks of a job to stop within ``grace_s`` seconds."""
         for run in list(job.runs.values()):
-            self._scheduler.stop_run(run, grace, reason)
+            self._scheduler.stop_run(run, grace_s, reason)
 
-    # -- proof of exit ----------------------------------------------------------------
+    # -- exits ------------------------------------------------------------------------
 
     def free(self, runs: list[TaskRun], exited: bool) -> None:
-        """Record that attempts are off their machines, which are free for others then.
+        """Record that task attempts no longer run, and free their capacity.
 
-        ``exited``: their worker reported the exit, and is told to forget the attempt
-        once that is durable.
+        ``exited``: their worker reported the exit. It is ordered to clear the attempt once
+        the record is durable.
         """
-        by_job: dict[int, list[TaskRun]] = {}
+        runs_by_job: dict[int, list[TaskRun]] = {}
         for run in runs:
             if run.job.runs.get(run.task) is run:
                 self._cluster.free(run)
-                by_job.setdefault(run.job.index, []).append(run)
+                runs_by_job.setdefault(run.job.index, []).append(run)
             elif exited:
                 run.exit_durable = True
-        for freed in by_job.values():
+        for freed in runs_by_job.values():
             self._record_freed(freed[0].job, freed)
         self._scheduler.placement_needed = True
 
@@ -78,7 +78,7 @@
             partial(self._freed_durable, job, runs),
         )
         if job.gang and job.status == OPEN:
-            # The rest of a gang cannot go on alone; its next attempt starts all of it.
+            # A gang cannot continue without one of its tasks; its next attempt starts all of them.
             scheduler.stop_gang(job, 0.0, "gang")
 
     def _freed_durable(self, job: Job, runs: list[TaskRun]) -> None:
@@ -89,21 +89,24 @@
     # -- completion -------------------------------------------------------------------
 
     def finish(self, runs: list[TaskRun]) -> None:
-        """Complete the tasks of these attempts, job by job."""
-        by_job: dict[int, list[TaskRun]] = {}
+        """Complete the tasks of these attempts, with one call per job."""
+        runs_by_job: dict[int, list[TaskRun]] = {}
         for run in runs:
-            by_job.setdefault(run.job.index, []).append(run)
-        for finished in by_job.values():
+            runs_by_job.setdefault(run.job.index, []).append(run)
+        for finished in runs_by_job.values():
             self._scheduler.complete_tasks(
                 finished[0].job, [run.task for run in finished], finished
             )
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[TaskRun]) -> None:
-        """Complete tasks of a job, by attempts here (``runs``) or in another shard."""
+        """Record that tasks of a job completed.
+
+        ``runs`` are their attempts in this shard; empty if another shard ran them. The
+        first completed task of a gang completes all of its tasks.
+        """
         scheduler, cluster = self._scheduler, self._cluster
         done = [task for task in tasks if cluster.finish_task(job, task)]
         if job.gang and done:
-            # A gang completes as a whole.
             done += [task for task in range(job.spec.tasks) if cluster.finish_task(job, task)]
         for run in runs:
             cluster.free(run)
@@ -121,13 +124,13 @@
             run.exit_durable = True
         if all_done and job.status == FINISHED:
             job.done_durable = True
-            # A gang's other tasks complete by themselves.
+            # The other tasks of a gang exit by themselves.
             for run in [] if job.gang else list(job.runs.values()):
                 self._scheduler.stop_run(run, 0.0, "over")
         self._scheduler.retire_if_ended(job)
 
     def retire_if_ended(self, job: Job) -> None:
-        """Reduce a job to its final state once that is durable and nothing of it can run."""
+        """Reduce a job to its final state, if that is durable and none of its tasks can run."""
         if job.index not in self._cluster.jobs or job.runs:
             return
         if not (job.done_durable or job.cancel_durable):
