--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -12,8 +12,10 @@
 log = logging.getLogger(__name__)
 
 CANCEL_TIME_SHARE_BEFORE_DELETION = 0.6
-"""Share of the cancellation deadline (``cancel_s``) after which a machine is deleted whose
-task has not stopped."""
+"""Share of the cancellation deadline (``cancel_s``) that a task has to stop.
+
+After that, its machine is deleted.
+"""
 RECENT_HEARTBEAT_S = 3 * RESEND_INTERVAL_S
 """Stop commands are sent again to a machine that was heard within this time, in seconds."""
 
