--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -85,7 +85,7 @@
                 continue
             if not may_delete(machine):
                 continue
-            heard_lately = machine.last_heard > now - HEARTBEAT_AGE_LAGS * lag_s
+            heard_lately = machine.last_contact_at > now - HEARTBEAT_AGE_LAGS * lag_s
             old = now - machine.rented_at > MIN_AGE_LAGS * lag_s + MIN_AGE_MARGIN_S
             if heard_lately or not old:
                 continue
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -94,10 +94,10 @@
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_heard <= new_s and not machine.commands_lost_since:
+            if now - machine.last_contact_at <= new_s and not machine.commands_lost_since:
                 # Nearly all of them, several times a second.
                 continue
-            heard_this_term = machine.last_heard >= self._started
+            heard_this_term = machine.last_contact_at >= self._started
             if self._silent_for_s(machine, now) > (probe_s if heard_this_term else new_s):
                 silent.setdefault(machine.zone, []).append(machine)
         return SilentMachines(up, silent)
@@ -150,7 +150,9 @@
 
         Only the time counts in which it could have been heard.
         """
-        last_sign = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
+        last_sign = min(
+            machine.commands_lost_since or machine.last_contact_at, machine.last_contact_at
+        )
         since = max(last_sign, self._started, self._zones.reachable_again_at(machine.zone))
         return now - since
 
@@ -165,7 +167,7 @@
             # Its tasks are free when its lease expires, and the machine is there, images
             # and all, once the zone is back.
             return self._zones.is_past_patience(machine.zone, now) and machine.empty()
-        heard_this_term = machine.last_heard >= self._started
+        heard_this_term = machine.last_contact_at >= self._started
         probes = LOST_PROBES if heard_this_term else LOST_PROBES_NEW_LEADER
         if machine_silent_s > silent_s and machine.unanswered_probes >= probes:
             return True
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -84,7 +84,7 @@
             machine.lease_until = max(machine.lease_until, at + self._scheduler.worker_lease_s)
             if at > machine.last_heartbeat_at:
                 self._record_heartbeat(machine, at, commands_arrive)
-                machine.last_heard = max(machine.last_heard, at)
+                machine.last_contact_at = max(machine.last_contact_at, at)
             if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
             machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -378,7 +378,7 @@
             addresses = by_zone.setdefault(machine.zone, [])
             if (
                 machine.addr
-                and now - machine.last_heard < SAMPLE_INTERVAL_S
+                and now - machine.last_contact_at < SAMPLE_INTERVAL_S
                 and len(addresses) < SAMPLE_SIZE
             ):
                 addresses.append(machine.addr)
--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -24,7 +24,7 @@
         self.failed_needs = FailedNeeds()
         for machine in cluster.machines.values():
             if (
-                machine.last_heard >= heard_after
+                machine.last_contact_at >= heard_after
                 and machine.avoid_until <= now
                 and machine.schedulable()
             ):
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -63,5 +63,5 @@
                 scheduler.stop_run(run, 0.0, "over")
             elif scheduler.now - run.stop_ordered_at > delete_after_s:
                 scheduler.fleet.delete(run.machine, "a cancelled task does not end")
-            elif run.machine.last_heard > scheduler.now - RECENT_HEARTBEAT_S:
+            elif run.machine.last_contact_at > scheduler.now - RECENT_HEARTBEAT_S:
                 scheduler.commands.schedule_send(run.machine)
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -37,7 +37,7 @@
         if heartbeat.seq <= machine.seq:
             return
         machine.seq = heartbeat.seq
-        machine.last_heard = scheduler.now
+        machine.last_contact_at = scheduler.now
         scheduler.fleet.heartbeat_received(machine, heartbeat)
         fenced = heartbeat.fencing_token >= scheduler.fencing_token_for(machine)
         finished: list[TaskRun] = []
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -229,7 +229,7 @@
         "in_other_shard",
         "index",
         "job_errors",
-        "last_heard",
+        "last_contact_at",
         "last_heartbeat",
         "last_heartbeat_at",
         "lease_until",
@@ -281,9 +281,9 @@
         self.runs: dict[tuple[str, int], TaskRun] = {}
         self.unknown_runs: dict[tuple[str, int], bool] = {}
         self.images: OrderedDict[int, float] = OrderedDict()
-        self.last_heard = 0.0
+        self.last_contact_at = 0.0
         # Agent epoch and sequence number of its newest heartbeat, and when it came; answers
-        # to direct commands count in ``seq`` and ``last_heard`` as well.
+        # to direct commands count in ``seq`` and ``last_contact_at`` as well.
         self.last_heartbeat = (0, -1)
         self.last_heartbeat_at = -math.inf
         # Since when nothing shows that commands reach it (0: they do), and how many heartbeats
