--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -54,7 +54,7 @@
             commands_arrive = machine.status == UP
         self._record_heartbeat(machine, now, commands_arrive)
         machine.last_heartbeat = position
-        machine.heartbeats_lost = False
+        machine.without_heartbeats = False
         if not commands_arrive and heartbeat.addr and not machine.probe_in_flight:
             machine.probe_in_flight = True
             self._scheduler.actions.append(ProbeMachine(machine.name, heartbeat.addr))
@@ -89,7 +89,7 @@
                 machine.seq = max(machine.seq, seq)
             machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
         # A machine whose heartbeats are lost may answer probes, but its lease will expire.
-        machine.heartbeats_lost = (
+        machine.without_heartbeats = (
             self._scheduler.now - max(machine.last_heartbeat_at, self._started)
             > self._heartbeats_lost_after_s
         )
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -222,7 +222,7 @@
         "free_cpus",
         "free_gpus",
         "free_memory",
-        "heartbeats_lost",
+        "without_heartbeats",
         "heartbeats_since_unreachable",
         "idle_since",
         "images",
@@ -291,7 +291,7 @@
         self.commands_lost_since = 0.0
         self.heartbeats_since_unreachable = 0
         # It may answer commands, but no heartbeat of it arrives.
-        self.heartbeats_lost = False
+        self.without_heartbeats = False
         self.lease_until = 0.0
         self.listed_at: float | None = None
         self.listed_addr = ""
@@ -316,7 +316,7 @@
     def schedulable(self) -> bool:
         """Return whether tasks may be placed on it."""
         leaving = self.draining or self.cordoned or self.deletion_requested
-        doubtful = self.quarantined or self.heartbeats_lost or self.commands_lost_since
+        doubtful = self.quarantined or self.without_heartbeats or self.commands_lost_since
         return self.status == UP and not (leaving or doubtful or self.in_other_shard)
 
     def needs_no_commands(self) -> bool:
