--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -94,7 +94,7 @@
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_contact_at <= new_s and not machine.commands_lost_since:
+            if now - machine.last_contact_at <= new_s and not machine.commands_unconfirmed_since:
                 # Nearly all of them, several times a second.
                 continue
             heard_this_term = machine.last_contact_at >= self._started
@@ -151,7 +151,7 @@
         Only the time counts in which it could have been heard.
         """
         last_sign = min(
-            machine.commands_lost_since or machine.last_contact_at, machine.last_contact_at
+            machine.commands_unconfirmed_since or machine.last_contact_at, machine.last_contact_at
         )
         since = max(last_sign, self._started, self._zones.reachable_again_at(machine.zone))
         return now - since
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -64,14 +64,14 @@
     def _record_heartbeat(machine: Machine, at: float, commands_arrive: bool) -> None:
         machine.last_heartbeat_at = at
         if commands_arrive:
-            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+            machine.commands_unconfirmed_since = machine.heartbeats_while_unconfirmed = (
                 machine.unanswered_probes
             ) = 0
             return
-        machine.heartbeats_since_unreachable += 1
-        if machine.heartbeats_since_unreachable == 1:
+        machine.heartbeats_while_unconfirmed += 1
+        if machine.heartbeats_while_unconfirmed == 1:
             # Probes that it left unanswered while it was not heard say nothing of now.
-            machine.commands_lost_since, machine.unanswered_probes = at, 0
+            machine.commands_unconfirmed_since, machine.unanswered_probes = at, 0
 
     def apply_fast_path(self, machine: Machine) -> None:
         """Take over what the fast path recorded of heartbeats without any change."""
@@ -97,9 +97,11 @@
     def command_result(self, machine: Machine, reached: bool) -> None:
         """Record whether a direct command or probe reached the machine."""
         if reached:
-            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+            machine.commands_unconfirmed_since = machine.heartbeats_while_unconfirmed = (
                 machine.unanswered_probes
             ) = 0
         else:
             machine.unanswered_probes += 1
-            machine.commands_lost_since = machine.commands_lost_since or self._scheduler.now
+            machine.commands_unconfirmed_since = (
+                machine.commands_unconfirmed_since or self._scheduler.now
+            )
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -213,7 +213,7 @@
         "agent_epoch",
         "avoid_until",
         "commands_in_flight",
-        "commands_lost_since",
+        "commands_unconfirmed_since",
         "cordoned",
         "cpus",
         "deletion_requested",
@@ -223,7 +223,7 @@
         "free_gpus",
         "free_memory",
         "without_heartbeats",
-        "heartbeats_since_unreachable",
+        "heartbeats_while_unconfirmed",
         "idle_since",
         "images",
         "in_other_shard",
@@ -288,8 +288,8 @@
         self.last_heartbeat_at = -math.inf
         # Since when nothing shows that commands reach it (0: they do), and how many heartbeats
         # came meanwhile.
-        self.commands_lost_since = 0.0
-        self.heartbeats_since_unreachable = 0
+        self.commands_unconfirmed_since = 0.0
+        self.heartbeats_while_unconfirmed = 0
         # It may answer commands, but no heartbeat of it arrives.
         self.without_heartbeats = False
         self.lease_until = 0.0
@@ -316,7 +316,7 @@
     def schedulable(self) -> bool:
         """Return whether tasks may be placed on it."""
         leaving = self.draining or self.cordoned or self.deletion_requested
-        doubtful = self.quarantined or self.without_heartbeats or self.commands_lost_since
+        doubtful = self.quarantined or self.without_heartbeats or self.commands_unconfirmed_since
         return self.status == UP and not (leaving or doubtful or self.in_other_shard)
 
     def needs_no_commands(self) -> bool:
