--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -43,7 +43,7 @@
         # before, in which sequence numbers restart. Heartbeats of the new epoch were once
         # taken for copies, and renewed no lease.
         position = (heartbeat.agent_epoch, heartbeat.seq)
-        if position <= machine.last_heartbeat:
+        if position <= machine.last_heartbeat_id:
             return False
         now = self._scheduler.now
         if machine.last_heartbeat_at > -math.inf:
@@ -53,7 +53,7 @@
             # has to show first that they do.
             commands_arrive = machine.status == UP
         self._record_heartbeat(machine, now, commands_arrive)
-        machine.last_heartbeat = position
+        machine.last_heartbeat_id = position
         machine.without_heartbeats = False
         if not commands_arrive and heartbeat.addr and not machine.probe_in_flight:
             machine.probe_in_flight = True
@@ -87,7 +87,7 @@
                 machine.last_contact_at = max(machine.last_contact_at, at)
             if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
-            machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
+            machine.last_heartbeat_id = max(machine.last_heartbeat_id, (agent_epoch, seq))
         # A machine whose heartbeats are lost may answer probes, but its lease will expire.
         machine.without_heartbeats = (
             self._scheduler.now - max(machine.last_heartbeat_at, self._started)
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -230,7 +230,7 @@
         "index",
         "job_errors",
         "last_contact_at",
-        "last_heartbeat",
+        "last_heartbeat_id",
         "last_heartbeat_at",
         "lease_until",
         "listed_addr",
@@ -284,7 +284,7 @@
         self.last_contact_at = 0.0
         # Agent epoch and sequence number of its newest heartbeat, and when it came; answers
         # to direct commands count in ``seq`` and ``last_contact_at`` as well.
-        self.last_heartbeat = (0, -1)
+        self.last_heartbeat_id = (0, -1)
         self.last_heartbeat_at = -math.inf
         # Since when nothing shows that commands reach it (0: they do), and how many heartbeats
         # came meanwhile.
