--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -45,8 +45,8 @@
             # It failed on several machines and succeeded on none: the job is to blame.
             self._back_off_job(job)
             return
-        machine.job_errors[job.index] = now
-        recent = [at for at in machine.job_errors.values() if at > now - ERROR_WINDOW_S]
+        machine.last_failure_by_job[job.index] = now
+        recent = [at for at in machine.last_failure_by_job.values() if at > now - ERROR_WINDOW_S]
         if len(recent) >= self._scheduler.operator.sick_jobs and not machine.quarantined:
             log.info(
                 "machine quarantined machine=%s reason=failures failed_jobs=%d",
@@ -60,7 +60,7 @@
         job.backoff_s = min(MAX_JOB_BACKOFF_S, max(1.0, job.backoff_s * 2))
         job.not_before = self._scheduler.now + job.backoff_s
         for machine in self._cluster.machines.values():
-            machine.job_errors.pop(job.index, None)
+            machine.last_failure_by_job.pop(job.index, None)
 
     def task_ran(self, machine: Machine, job: Job, seconds: float) -> None:
         """Tell a slow machine from long tasks by the same job's tasks on other machines."""
@@ -68,8 +68,8 @@
             total_s = max(job.completed_run_s, 1e-3)
             ratio = min(MAX_SLOWNESS, seconds * job.completed_runs / total_s)
             machine.slowness += (ratio - machine.slowness) * SLOWNESS_WEIGHT
-            machine.slow_count += 1
-            if machine.slow_count >= MIN_SLOW_RUNS and machine.slowness > SLOWNESS_LIMIT:
+            machine.slowness_samples += 1
+            if machine.slowness_samples >= MIN_SLOW_RUNS and machine.slowness > SLOWNESS_LIMIT:
                 log.info(
                     "machine quarantined machine=%s reason=slow slowness=%.1f",
                     machine.name,
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -115,7 +115,7 @@
 
     def _run_succeeded(self, machine: Machine, run: TaskRun) -> None:
         scheduler = self._scheduler
-        machine.job_errors.clear()
+        machine.last_failure_by_job.clear()
         if run.running_since:
             run_time = scheduler.now - run.running_since
             scheduler.cluster.record_run_time(run.job, run_time)
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -228,7 +228,7 @@
         "images",
         "in_other_shard",
         "index",
-        "job_errors",
+        "last_failure_by_job",
         "last_contact_at",
         "last_heartbeat_id",
         "last_heartbeat_at",
@@ -244,7 +244,7 @@
         "retry_deletion_at",
         "runs",
         "seq",
-        "slow_count",
+        "slowness_samples",
         "slowness",
         "spot",
         "status",
@@ -307,11 +307,11 @@
         self.probe_in_flight = False
         # Where unchanged heartbeats leave their time of arrival; owned by the scheduler.
         self.fast_path_entry: Any = None
-        self.job_errors: dict[int, float] = {}
+        self.last_failure_by_job: dict[int, float] = {}
         self.avoid_until = 0.0
         self.quarantined = False
         self.slowness = 1.0
-        self.slow_count = 0
+        self.slowness_samples = 0
 
     def schedulable(self) -> bool:
         """Return whether tasks may be placed on it."""
