--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -88,7 +88,7 @@
                 continue
             if now - since < self._starve_s or len(turns) >= KEPT_FOR:
                 continue
-            if index in ledger.promises or job.not_before > now or (job.gang and job.runs):
+            if index in ledger.promises or job.backoff_until > now or (job.gang and job.runs):
                 continue
             needs = self._needs(job)
             ever = {r: ledger.resources[r].capacity(now) - lasting[r] for r in needs}
--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -58,7 +58,7 @@
     def _back_off_job(self, job: Job) -> None:
         """Delay a faulty job, and no longer count its failures against machines."""
         job.backoff_s = min(MAX_JOB_BACKOFF_S, max(1.0, job.backoff_s * 2))
-        job.not_before = self._scheduler.now + job.backoff_s
+        job.backoff_until = self._scheduler.now + job.backoff_s
         for machine in self._cluster.machines.values():
             machine.last_failure_by_job.pop(job.index, None)
 
--- a/appleshift/placement/urgency.py
+++ b/appleshift/placement/urgency.py
@@ -36,7 +36,10 @@
         jobs = [
             job
             for job in self._cluster.jobs.values()
-            if job.pending and job.status == OPEN and job.accepted and job.not_before <= self._now
+            if job.pending
+            and job.status == OPEN
+            and job.accepted
+            and job.backoff_until <= self._now
         ]
         self._punctual_gang_tasks = sum(
             len(job.pending)
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -111,7 +111,7 @@
         "index",
         "key",
         "last_attempt",
-        "not_before",
+        "backoff_until",
         "partitions",
         "pending",
         "rank",
@@ -150,7 +150,7 @@
         self.failed_machines: set[int] = set()
         self.avoided_machines: dict[int, float] = {}
         self.backoff_s = 0.0
-        self.not_before = 0.0
+        self.backoff_until = 0.0
         # The zone in which a gang collects machines; -1: none yet.
         self.gathering_zone = -1
         # Since when its replicas wait for room on machines that hold their image.
