--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -57,7 +57,7 @@
     def _deleted(self, machine: Machine) -> None:
         scheduler = self._scheduler
         scheduler.agent_epoch_ended(machine)
-        scheduler.cluster.drop_machine(machine)
+        scheduler.cluster.remove_deleted_machine(machine)
         scheduler.fast_path.entries.pop(machine.name, None)
         scheduler.fleet.machine_deleted(machine)
         if machine.addr:
--- a/appleshift/scheduler/task_runs.py
+++ b/appleshift/scheduler/task_runs.py
@@ -134,4 +134,4 @@
             return
         self._scheduler.write_ahead_log.append(records.end_record(job))
         self._scheduler.unsaved_final_states.append((job.key, job.status))
-        self._cluster.retire(job)
+        self._cluster.remove_job(job)
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -108,7 +108,7 @@
             self._shard_of.pop(reported.name, None)
             self._moving[shard].pop(reported.name, None)
             if machine is not None and machine.in_other_shard:
-                cluster.drop_machine(machine)
+                cluster.remove_deleted_machine(machine)
             return
         machine = self._shadow_machine(
             reported.name, reported.kind, reported.zone, reported.spot, shard
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -66,7 +66,7 @@
             scheduler.fencing_token_for(machine),
         )
         # Unused from here on, whatever becomes of the record.
-        cluster.forget_machine(machine)
+        cluster.remove_machine(machine)
         scheduler.fast_path.entries.pop(name, None)
         cluster.handed_off[name] = handed_off
 
@@ -89,7 +89,7 @@
         if known is not None and not known.in_other_shard:
             return True
         if known is not None:
-            cluster.forget_machine(known)
+            cluster.remove_machine(known)
         machine = cluster.add_machine(offer.name, offer.kind, offer.zone, offer.spot)
         if machine is None:
             # Its type is not known here yet.
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -239,18 +239,18 @@
         mean = job.completed_run_s / job.completed_runs if job.completed_runs else 0.0
         return estimate + (mean - estimate) * weight
 
-    def retire(self, job: Job) -> None:
+    def remove_job(self, job: Job) -> None:
         """Forget a job that is over, but for its final state."""
         self.final_states[job.key] = job.status
         self.jobs.pop(job.index, None)
         self.job_by_id.pop(job.key, None)
 
-    def drop_machine(self, machine: Machine) -> None:
+    def remove_deleted_machine(self, machine: Machine) -> None:
         """Remove a machine that is gone for good: its name is never used again."""
-        self.forget_machine(machine)
+        self.remove_machine(machine)
         self.deleted_machines.add(machine.name)
 
-    def forget_machine(self, machine: Machine) -> None:
+    def remove_machine(self, machine: Machine) -> None:
         """Remove a machine that may come back under its name."""
         machine.status = DELETED
         self.machines.pop(machine.index, None)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -256,13 +256,13 @@
         handed_off = HandedOffMachine(*record[1:])
         machine = self.cluster.machine(handed_off.name)
         if machine is not None:
-            self.cluster.forget_machine(machine)
+            self.cluster.remove_machine(machine)
         self.cluster.handed_off[handed_off.name] = handed_off
 
     def _apply_machine_deleted(self, record: Record) -> None:
         machine = self.cluster.machine(record[1])
         if machine is not None:
-            self.cluster.drop_machine(machine)
+            self.cluster.remove_deleted_machine(machine)
 
     def _apply_counted_resource(self, record: Record) -> None:
         if self.audit_log is None and self.make_audit_log is not None:
@@ -319,7 +319,7 @@
         for task in range(job.spec.tasks):
             self.task_locations.pop((job.index, task), None)
         self.unsaved_final_states.append((job.key, job.status))
-        self.cluster.retire(job)
+        self.cluster.remove_job(job)
 
 
 _CLUSTER_RECORDS: dict[str, Callable[[LogReplayer, Record], None]] = {
