--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/leftovers.py
@@ -62,12 +62,12 @@
 
     def _find(self) -> dict[int, tuple[float, float]]:
         free = {}
-        unclaimed = self._cluster.spot_gpus_unclaimed()
+        unclaimed = self._cluster.gpu_jobs_exclude_spot()
         for (kind, _, _), machines in self._machines.pools.items():
             gpus = self._cluster.types[kind].gpus
             if gpus <= 0:
                 continue
-            beside_gpus = self._cluster.left_beside_gpus(kind)
+            beside_gpus = self._cluster.resources_unneeded_by_gpu_jobs(kind)
             for machine in machines:
                 if machine.spot and unclaimed:
                     free[machine.index] = (machine.free_cpus, machine.free_memory)
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -24,7 +24,7 @@
     ``missing`` is in machines of ``on_demand_type``, a type without GPUs.
     """
     cluster = fleet.cluster
-    if fleet.scheduler.sharding is not None or not cluster.spot_gpus_unclaimed():
+    if fleet.scheduler.sharding is not None or not cluster.gpu_jobs_exclude_spot():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
     if not any(job.spec.spot and may_run_beside_gpus(job) for job in jobs):
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -213,7 +213,7 @@
         average = self.run_ratios.get(job.spec.job_class, 1.0)
         self.run_ratios[job.spec.job_class] = average + (ratio - average) * CLASS_RATIO_WEIGHT
 
-    def left_beside_gpus(self, type_index: int) -> tuple[float, float]:
+    def resources_unneeded_by_gpu_jobs(self, type_index: int) -> tuple[float, float]:
         """Return CPUs and memory (GB) of a machine that jobs with GPUs will not need."""
         machine_type = self.types[type_index]
         if self.needs_per_gpu is None:
@@ -224,7 +224,7 @@
             machine_type.memory_gb - memory * machine_type.gpus,
         )
 
-    def spot_gpus_unclaimed(self) -> bool:
+    def gpu_jobs_exclude_spot(self) -> bool:
         """Return whether there were jobs with GPUs, and none that may use spot machines."""
         return self.needs_per_gpu is not None and not self._gpu_jobs_on_spot
 
