--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -94,7 +94,7 @@
     def set_machine_types(self, types: list[MachineType]) -> None:
         """Take over the types and prices that the cloud offers."""
         self._units_by_type.clear()
-        if self.cluster.set_types(types):
+        if self.cluster.update_machine_types(types):
             self.scheduler.append_records(records.machine_type_records(self.cluster.types))
             self.scheduler.placement_needed = True
 
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -80,7 +80,7 @@
         self._gpu_jobs_on_spot = False
         self.counted_resources: CountedResourceTracker | None = None
 
-    def set_types(self, types: list[MachineType]) -> bool:
+    def update_machine_types(self, types: list[MachineType]) -> bool:
         """Add machine types or update their prices; return whether any type is new."""
         any_new = False
         for machine_type in types:
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -239,7 +239,7 @@
             self.arrivals.append((submitted, spec))
 
     def _apply_machine_type(self, record: Record) -> None:
-        self.cluster.set_types([msgspec.convert(record[1], MachineType)])
+        self.cluster.update_machine_types([msgspec.convert(record[1], MachineType)])
 
     def _apply_spot_groups(self, record: Record) -> None:
         self.groups = record[1]
