--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -18,11 +18,11 @@
 from appleshift.state.states import DELETED
 from appleshift.state.teams import Team
 
-CLASS_RATIO_WEIGHT = 0.02
+RUN_TIME_RATIO_WEIGHT = 0.02
 """Weight of one finished task in the average run ratio of its job class."""
-PRIOR_WEIGHT = 3.0
+ESTIMATE_WEIGHT_TASKS = 3.0
 """The corrected estimate weighs as much as this many finished tasks of the job."""
-MAX_RUN_RATIO = 10.0
+MAX_RUN_TIME_RATIO = 10.0
 """A single task counts at most this many times its estimate."""
 
 
@@ -73,7 +73,7 @@
         # How many tasks of each rank may be on machines.
         self._runs_by_rank = [0] * len(RANKS)
         # By job class: the ratio of tasks' run time to their estimate, a moving average.
-        self.run_ratios: dict[str, float] = {}
+        self.run_time_ratios: dict[str, float] = {}
         # The most CPUs and memory (GB) that a job with GPUs needed for one GPU.
         self.needs_per_gpu: tuple[float, float] | None = None
         # Whether any job with GPUs may use spot machines.
@@ -209,9 +209,11 @@
         """Correct the estimates of a job's class by the run time of a finished task."""
         if job.spec.estimate_s <= 0:
             return
-        ratio = min(MAX_RUN_RATIO, seconds / job.spec.estimate_s)
-        average = self.run_ratios.get(job.spec.job_class, 1.0)
-        self.run_ratios[job.spec.job_class] = average + (ratio - average) * CLASS_RATIO_WEIGHT
+        ratio = min(MAX_RUN_TIME_RATIO, seconds / job.spec.estimate_s)
+        average = self.run_time_ratios.get(job.spec.job_class, 1.0)
+        self.run_time_ratios[job.spec.job_class] = (
+            average + (ratio - average) * RUN_TIME_RATIO_WEIGHT
+        )
 
     def resources_unneeded_by_gpu_jobs(self, type_index: int) -> tuple[float, float]:
         """Return CPUs and memory (GB) of a machine that jobs with GPUs will not need."""
@@ -234,8 +236,8 @@
         The user's estimate is corrected by the run times of the job's class, then by
         those of the job itself, whose tasks are more alike.
         """
-        estimate = job.spec.estimate_s * self.run_ratios.get(job.spec.job_class, 1.0)
-        weight = job.completed_runs / (job.completed_runs + PRIOR_WEIGHT)
+        estimate = job.spec.estimate_s * self.run_time_ratios.get(job.spec.job_class, 1.0)
+        weight = job.completed_runs / (job.completed_runs + ESTIMATE_WEIGHT_TASKS)
         mean = job.completed_run_s / job.completed_runs if job.completed_runs else 0.0
         return estimate + (mean - estimate) * weight
 
