--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -95,7 +95,7 @@
         self.fast_path = FastPath()
         self.pending_replies = PendingReplies()
         self.liveness = MachineLiveness(self)
-        self.fleet = Fleet(self, replayer.groups)
+        self.fleet = Fleet(self, replayer.spot_group_names)
         self.job_requests = JobRequests(self)
         self.machine_deletions = MachineDeletions(self)
         self._task_runs = TaskRuns(self)
--- a/appleshift/scheduler/term_recovery.py
+++ b/appleshift/scheduler/term_recovery.py
@@ -20,7 +20,7 @@
     _restore_assignments(cluster, replayer)
     if counted is not None:
         counted.end_recovery()
-    for submitted, spec in sorted(replayer.arrivals, key=lambda entry: entry[0]):
+    for submitted, spec in sorted(replayer.submissions, key=lambda entry: entry[0]):
         # Arrivals under earlier leaders still tell how much work is to be expected.
         scheduler.fleet.job_arrived(spec, scheduler.now - max(0.0, wall_time - submitted))
     _restore_machines(scheduler)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -197,10 +197,10 @@
         self.audit_entries_written = 0
         # Definitions of the counted resources in force, by name, as they were recorded.
         self.counted_resources: dict[str, Any] = {}
-        self.groups: Any = None
+        self.spot_group_names: Any = None
         self.unsaved_final_states: list[tuple[str, int]] = []
         # All submissions that the log still holds, those of ended jobs included.
-        self.arrivals: list[tuple[float, Submission]] = []
+        self.submissions: list[tuple[float, Submission]] = []
         # (job, task) -> (attempt, machine name, agent epoch): where a task may be.
         self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
@@ -236,13 +236,13 @@
         job = self.cluster.add_job(index, spec, submitted, bool(partition))
         job.accepted = True
         if not partition:
-            self.arrivals.append((submitted, spec))
+            self.submissions.append((submitted, spec))
 
     def _apply_machine_type(self, record: Record) -> None:
         self.cluster.update_machine_types([msgspec.convert(record[1], MachineType)])
 
     def _apply_spot_groups(self, record: Record) -> None:
-        self.groups = record[1]
+        self.spot_group_names = record[1]
 
     def _apply_machine(self, record: Record) -> None:
         _, name, addr, type_name, zone, spot, *transfer = record
