--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -173,7 +173,7 @@
     ]
 
 
-class RecordFollower(Protocol):
+class RecordConsumer(Protocol):
     """Follows durable records, for the audit of counted resources."""
 
     def apply(self, record: Record) -> None:
@@ -184,7 +184,7 @@
     """Rebuilds the state of a shard from a snapshot and the log after it."""
 
     def __init__(
-        self, cluster: ClusterState, make_audit_log: Callable[[int], RecordFollower] | None = None
+        self, cluster: ClusterState, make_audit_log: Callable[[int], RecordConsumer] | None = None
     ) -> None:
         """Fill ``cluster``.
 
@@ -193,7 +193,7 @@
         """
         self.cluster = cluster
         self.make_audit_log = make_audit_log
-        self.audit_log: RecordFollower | None = None
+        self.audit_log: RecordConsumer | None = None
         self.audit_entries_written = 0
         # Definitions of the counted resources in force, by name, as they were recorded.
         self.counted_resources: dict[str, Any] = {}
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -16,7 +16,7 @@
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError
 from appleshift.storage.keys import shard_prefix
-from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.records import LogReplayer, RecordConsumer
 from appleshift.storage.recovery import RecoveredLog, recover
 from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.client import ClientError
@@ -135,7 +135,7 @@
     )
 
 
-def _make_audit_log(written_entries: int) -> RecordFollower:
+def _make_audit_log(written_entries: int) -> RecordConsumer:
     """Follow the audit of counted resources from where their records begin in the log."""
     # Loaded only where resources are counted.
     from appleshift.counted_resources.audit_log import AuditLog
