--- a/appleshift/storage/log_header.py
+++ b/appleshift/storage/log_header.py
@@ -16,7 +16,7 @@
     """Number of pages of that snapshot."""
     first_entry: int = 1
     """Number of the first log entry that the snapshot does not cover."""
-    final_pages: int = 0
+    final_state_pages: int = 0
     """Number of pages of final states."""
     audit_pages: tuple[int, int, int] = (0, 0, 0)
     """First audit page kept, next audit page, and how many entries all pages ever held."""
@@ -27,7 +27,7 @@
             "generation": self.generation,
             "pages": self.pages,
             "log_from": self.first_entry,
-            "finals": self.final_pages,
+            "finals": self.final_state_pages,
             "mark": mark,
         }
         return {**value, "audit": list(self.audit_pages)} if self.audit_pages[1] else value
--- a/appleshift/storage/recovery.py
+++ b/appleshift/storage/recovery.py
@@ -60,10 +60,10 @@
 def _replay_final_states(
     store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
 ) -> None:
-    if not header.final_pages:
+    if not header.final_state_pages:
         return
     # Pages from here on belong to a snapshot that never came into force.
-    end = final_key(header.final_pages, prefix)
+    end = final_key(header.final_state_pages, prefix)
     for row in store.read_all(prefix + FINAL_STATES_PREFIX):
         if row.key < end:
             replayer.apply_final_states(row.value["records"])
--- a/appleshift/storage/snapshots.py
+++ b/appleshift/storage/snapshots.py
@@ -81,7 +81,7 @@
     pages = [
         *((snapshot_key(generation, number, prefix), page) for number, page in enumerate(live)),
         *(
-            (final_key(current.final_pages + number, prefix), page)
+            (final_key(current.final_state_pages + number, prefix), page)
             for number, page in enumerate(final_states)
         ),
         *((audit_key(next_audit + number, prefix), page) for number, page in enumerate(audit)),
@@ -90,7 +90,7 @@
         generation,
         len(live),
         first_entry,
-        current.final_pages + len(final_states),
+        current.final_state_pages + len(final_states),
         current.audit_pages,
     )
     if audit:
