--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -150,7 +150,7 @@
     def commit_succeeded(self, revision: int) -> None:
         """Run what waited for the transaction that was committed at ``revision``."""
         self.is_stalled = False
-        self.write_ahead_log.committed(revision)
+        self.write_ahead_log.transaction_committed(revision)
 
     def commit_stalled(self) -> None:
         """Refuse all held requests: the key-value store takes no writes.
--- a/appleshift/storage/write_ahead_log.py
+++ b/appleshift/storage/write_ahead_log.py
@@ -238,7 +238,7 @@
 
     # -- commits -------------------------------------------------------------
 
-    def committed(self, revision: int) -> None:
+    def transaction_committed(self, revision: int) -> None:
         """Take note that the transaction in flight is durable since ``revision``."""
         transaction, records = self._transaction, self._in_flight
         write = self._maintenance_in_flight
