--- a/appleshift/storage/write_ahead_log.py
+++ b/appleshift/storage/write_ahead_log.py
@@ -266,9 +266,9 @@
     def start_snapshot(
         self,
         records: list[Record],
-        finals: list[list[Any]],
+        final_states: list[list[Any]],
         audit: Callable[[], list[list[Any]]] | None = None,
-        audit_pages: int = 0,
+        max_audit_pages: int = 0,
     ) -> None:
         """Write the state as of now; records may be appended meanwhile.
 
@@ -277,13 +277,13 @@
         follows it must start with the first record appended after now: one that
         shared a key with older ones would be in neither. ``audit`` returns the
         audit entries of counted resources up to here, and is therefore called
-        only once all those records are durable; ``audit_pages`` of it are kept.
+        only once all those records are durable; ``max_audit_pages`` of it are kept.
         """
         self.snapshotting = True
 
         def write() -> None:
             entries = audit() if audit is not None else []
-            self._write_snapshot(SnapshotContent(records, finals, entries, audit_pages))
+            self._write_snapshot(SnapshotContent(records, final_states, entries, max_audit_pages))
 
         if self._queue or self._in_flight is not None:
             self._queue.append(_PendingRecord(None, 0, write, barrier=True))
