--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -100,10 +100,10 @@
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_heard <= new_leader_probe_s and not machine.commands_lost_since:
+            if now - machine.last_contact_at <= new_leader_probe_s and not machine.commands_unconfirmed_since:
                 # Fast path for nearly all machines in every check.
                 continue
-            heard_this_term = machine.last_heard >= self._started
+            heard_this_term = machine.last_contact_at >= self._started
             if self._silent_for_s(machine, now) > (
                 probe_s if heard_this_term else new_leader_probe_s
             ):
@@ -159,7 +159,9 @@
 
         Only time in this term and since its zone was last unreachable counts.
         """
-        last_contact = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
+        last_contact = min(
+            machine.commands_unconfirmed_since or machine.last_contact_at, machine.last_contact_at
+        )
         since = max(last_contact, self._started, self._zones.reachable_again_at(machine.zone))
         return now - since
 
@@ -174,7 +176,7 @@
             # The machine's tasks can start elsewhere when its lease expires. Once the zone is
             # reachable again, the machine is available with all its images.
             return self._zones.is_past_retention(machine.zone, now) and machine.empty()
-        heard_this_term = machine.last_heard >= self._started
+        heard_this_term = machine.last_contact_at >= self._started
         probes = LOST_PROBES if heard_this_term else LOST_PROBES_NEW_LEADER
         if machine_silent_s > silent_s and machine.unanswered_probes >= probes:
             return True
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -37,7 +37,7 @@
         if heartbeat.seq <= machine.seq:
             return
         machine.seq = heartbeat.seq
-        machine.last_heard = scheduler.now
+        machine.last_contact_at = scheduler.now
         scheduler.fleet.heartbeat_received(machine, heartbeat)
         token_seen = heartbeat.fencing_token >= scheduler.fencing_token_for(machine)
         finished: list[TaskRun] = []
@@ -122,7 +122,7 @@
 
     def _run_succeeded(self, machine: Machine, run: TaskRun) -> None:
         scheduler = self._scheduler
-        machine.job_errors.clear()
+        machine.last_failure_by_job.clear()
         if run.running_since:
             run_time_s = scheduler.now - run.running_since
             scheduler.cluster.record_run_time(run.job, run_time_s)
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -104,7 +104,7 @@
         self.fast_path = FastPath()
         self.pending_replies = PendingReplies()
         self.liveness = MachineLiveness(self)
-        self.fleet = Fleet(self, replayer.groups)
+        self.fleet = Fleet(self, replayer.spot_group_names)
         self.job_requests = JobRequests(self)
         self.machine_deletions = MachineDeletions(self)
         self._task_termination = TaskTermination(self)
@@ -162,7 +162,7 @@
     def commit_succeeded(self, revision: int) -> None:
         """Run the callbacks of the records that were committed at ``revision``."""
         self.writes_stalled = False
-        self.write_ahead_log.committed(revision)
+        self.write_ahead_log.transaction_committed(revision)
 
     def commit_stalled(self) -> None:
         """Refuse all pending requests: the key-value store accepts no writes.
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -21,7 +21,7 @@
     _restore_assignments(cluster, replayer)
     if counted is not None:
         counted.end_recovery()
-    for submitted, spec in sorted(replayer.arrivals, key=lambda entry: entry[0]):
+    for submitted, spec in sorted(replayer.submissions, key=lambda entry: entry[0]):
         # Submissions of earlier terms are part of the arrival history for capacity planning.
         scheduler.fleet.job_arrived(spec, scheduler.now - max(0.0, wall_time - submitted))
     _restore_machines(scheduler)
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -96,6 +96,7 @@
         "accepted",
         "avoided_machines",
         "backoff_s",
+        "backoff_until",
         "cancel_durable",
         "cancel_requested",
         "completed_run_s",
@@ -111,7 +112,6 @@
         "index",
         "key",
         "last_attempt",
-        "not_before",
         "partitions",
         "pending",
         "rank",
@@ -150,7 +150,7 @@
         self.failed_machines: set[int] = set()
         self.avoided_machines: dict[int, float] = {}
         self.backoff_s = 0.0
-        self.not_before = 0.0
+        self.backoff_until = 0.0
         # The zone in which a gang collects machines; -1: none yet.
         self.gathering_zone = -1
         # Since when its replicas wait for room on machines that hold their image.
@@ -213,7 +213,7 @@
         "agent_epoch",
         "avoid_until",
         "commands_in_flight",
-        "commands_lost_since",
+        "commands_unconfirmed_since",
         "cordoned",
         "cpus",
         "deletion_requested",
@@ -222,16 +222,15 @@
         "free_cpus",
         "free_gpus",
         "free_memory",
-        "heartbeats_lost",
-        "heartbeats_since_unreachable",
+        "heartbeats_while_unconfirmed",
         "idle_since",
         "images",
         "in_other_shard",
         "index",
-        "job_errors",
-        "last_heard",
-        "last_heartbeat",
+        "last_contact_at",
+        "last_failure_by_job",
         "last_heartbeat_at",
+        "last_heartbeat_id",
         "lease_until",
         "listed_addr",
         "listed_at",
@@ -244,14 +243,15 @@
         "retry_deletion_at",
         "runs",
         "seq",
-        "slow_count",
         "slowness",
+        "slowness_samples",
         "spot",
         "status",
         "transfer_count",
         "type",
         "unanswered_probes",
         "unknown_runs",
+        "without_heartbeats",
         "zone",
     )
 
@@ -281,17 +281,17 @@
         self.runs: dict[tuple[str, int], TaskRun] = {}
         self.unknown_runs: dict[tuple[str, int], bool] = {}
         self.images: OrderedDict[int, float] = OrderedDict()
-        self.last_heard = 0.0
+        self.last_contact_at = 0.0
         # Agent epoch and sequence number of its newest heartbeat, and when it came; answers
-        # to direct commands count in ``seq`` and ``last_heard`` as well.
-        self.last_heartbeat = (0, -1)
+        # to direct commands count in ``seq`` and ``last_contact_at`` as well.
+        self.last_heartbeat_id = (0, -1)
         self.last_heartbeat_at = -math.inf
         # Since when nothing shows that commands reach it (0: they do), and how many heartbeats
         # came meanwhile.
-        self.commands_lost_since = 0.0
-        self.heartbeats_since_unreachable = 0
+        self.commands_unconfirmed_since = 0.0
+        self.heartbeats_while_unconfirmed = 0
         # It may answer commands, but no heartbeat of it arrives.
-        self.heartbeats_lost = False
+        self.without_heartbeats = False
         self.lease_until = 0.0
         self.listed_at: float | None = None
         self.listed_addr = ""
@@ -307,16 +307,16 @@
         self.probe_in_flight = False
         # Where unchanged heartbeats leave their time of arrival; owned by the scheduler.
         self.fast_path_entry: Any = None
-        self.job_errors: dict[int, float] = {}
+        self.last_failure_by_job: dict[int, float] = {}
         self.avoid_until = 0.0
         self.quarantined = False
         self.slowness = 1.0
-        self.slow_count = 0
+        self.slowness_samples = 0
 
     def schedulable(self) -> bool:
         """Return whether tasks may be placed on it."""
         leaving = self.draining or self.cordoned or self.deletion_requested
-        doubtful = self.quarantined or self.heartbeats_lost or self.commands_lost_since
+        doubtful = self.quarantined or self.without_heartbeats or self.commands_unconfirmed_since
         return self.status == UP and not (leaving or doubtful or self.in_other_shard)
 
     def needs_no_commands(self) -> bool:
