--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -52,7 +52,9 @@
             self._back_off_job(job)
             return
         machine.last_failure_by_job[job.index] = now
-        recent_failures = [at for at in machine.last_failure_by_job.values() if at > now - ERROR_WINDOW_S]
+        recent_failures = [
+            at for at in machine.last_failure_by_job.values() if at > now - ERROR_WINDOW_S
+        ]
         if len(recent_failures) >= self._scheduler.operator.sick_jobs and not machine.quarantined:
             log.info(
                 "machine quarantined machine=%s reason=failures failed_jobs=%d",
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -100,7 +100,10 @@
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_contact_at <= new_leader_probe_s and not machine.commands_unconfirmed_since:
+            if (
+                now - machine.last_contact_at <= new_leader_probe_s
+                and not machine.commands_unconfirmed_since
+            ):
                 # Fast path for nearly all machines in every check.
                 continue
             heard_this_term = machine.last_contact_at >= self._started
