--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -34,22 +34,22 @@
     def __init__(
         self,
         dependencies: ElectionDependencies,
-        on_won: Callable[[LeaderTerm], None],
-        on_lost: Callable[[], None],
+        on_election_won: Callable[[LeaderTerm], None],
+        on_leadership_lost: Callable[[], None],
         conditions: CandidacyConditions | None = None,
     ) -> None:
-        """``on_won`` and ``on_lost`` are called by the election's routine."""
-        self.name = dependencies.node_name
+        """``on_election_won`` and ``on_leadership_lost`` are called by the election's routine."""
+        self.node_name = dependencies.node_name
         self.process_id = dependencies.process_id
         self.shard = dependencies.shard
-        self.key = dependencies.key
+        self.leader_key = dependencies.leader_key
         self.lease = dependencies.lease
         self._dependencies = dependencies
         self._conditions = conditions or CandidacyConditions()
         self._store = dependencies.store
         self._operator = dependencies.operator
-        self._on_won = on_won
-        self._on_lost = on_lost
+        self._on_election_won = on_election_won
+        self._on_leadership_lost = on_leadership_lost
         runtime = dependencies.runtime
         self._now = runtime.now
         self._handing_over = runtime.event()
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         """Start the routines."""
-        name = self._dependencies.routine_name("election")
+        name = self._dependencies.thread_name("election")
         self._dependencies.runtime.spawn(name, self._run)
         self._vote_collector.start()
 
@@ -74,7 +74,7 @@
         """Give up leadership at once, so that another node need not wait."""
         self._stop.set()
         if self.lease.is_leader:
-            self.lease.lost()
+            self.lease.end_term()
             self._store.revoke_lease(self._lease_id)
 
     def step_down(self) -> None:
@@ -90,14 +90,14 @@
     # -- who leads and who relays ---------------------------------------------------
 
     @property
-    def leader(self) -> str | None:
+    def leader_from_store(self) -> str | None:
         """The leader by the holder key alone; None if there is none or it can't be read."""
-        return self._leaders.leader
+        return self._leaders.leader_from_store
 
     @property
-    def last_holder(self) -> str | None:
+    def last_leader_from_store(self) -> str | None:
         """The last node that the holder key named."""
-        return self._leaders.last_holder
+        return self._leaders.last_leader_from_store
 
     def current_leader(self) -> str | None:
         """Return who leads, by what peers say of themselves, else by the holder key."""
@@ -136,7 +136,7 @@
 
     def grant_vote(self, request: peers.LeaseVoteRequest) -> bool:
         """Promise a leader not to stand for a while; return False if that is refused."""
-        if request.duration_s > 0 and self.store_answers():
+        if request.duration_s > 0 and self.is_store_reachable():
             # The store refuses the leader alone: its lease is to run out, and a node that
             # can write is to lead. A vote would keep every node from being elected.
             return False
@@ -149,17 +149,17 @@
             request.process_id,
         )
 
-    def store_answers(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Ask the key-value store; return whether it answers this node right now."""
         try:
-            self._store.get(self.key, STORE_CHECK_TIMEOUT_S)
+            self._store.get(self.leader_key, STORE_CHECK_TIMEOUT_S)
         except (StoreError, ProtocolError):
             return False
         return True
 
     def peer_restarted(self, peer: str, ended_process_id: str) -> None:
         """Drop what a peer's earlier process said of itself, and what it was promised."""
-        self.lease.process_ended(ended_process_id)
+        self.lease.record_process_ended(ended_process_id)
         self._leaders.forget_peer(peer)
         self._relays.forget_peer(peer)
 
@@ -168,19 +168,19 @@
     ) -> None:
         """Record a peer's status; ``held`` is its claim to this shard, None if it has none."""
         now = self._now()
-        self.lease.peer_heard(peer, status.process_id, now)
+        self.lease.record_peer_process(peer, status.process_id, now)
         entitled = held is not None and held.entitled
         token = 0 if held is None else held.fencing_token
-        self._leaders.claim_received(peer, PeerClaim(now, entitled, token))
+        self._leaders.record_claim(peer, PeerClaim(now, entitled, token))
         if held is None:
-            self.lease.peer_does_not_lead(peer)
+            self.lease.record_peer_not_leading(peer)
         elif self.lease.is_leader and token > self.lease.fencing_token:
             # It could only be elected once our key was gone. Cut off from the key-value
             # store, a leader that was replaced once went on for 39 s.
             log.info("leadership superseded shard=%d leader=%s token=%d", self.shard, peer, token)
             self.step_down()
         if not self.shard:
-            self._relays.status_received(peer, status, now)
+            self._relays.record_status(peer, status, now)
 
     # -- the election's routine -----------------------------------------------------
 
@@ -193,7 +193,7 @@
                     self._follow()
             except StoreError as error:
                 log.debug("store call failed shard=%d error=%s", self.shard, error)
-                if not self.lease.is_leader and self.leader is not None:
+                if not self.lease.is_leader and self.leader_from_store is not None:
                     # What the key said may be over; the statuses of peers are newer.
                     self._leaders.clear_leader()
                 self._stop.wait(STORE_RETRY_S)
@@ -207,24 +207,24 @@
 
     def _follow(self) -> None:
         """Read the holder key; stand for it while it is free, else wait until it changes."""
-        self._candidacy.resolve()
+        self._candidacy.revoke_unresolved_lease()
         # Read as a page, which has the store's revision. A watch from the key's own
         # revision is refused once enough other changes have followed: then every
         # follower of a long term asked as fast as its rate limit allowed.
-        page = self._store.read_page(self.key, "", 1)
+        page = self._store.read_page(self.leader_key, "", 1)
         if not page.items:
             self._leaders.clear_leader()
             if not self._stand_for_free_key():
                 self._stop.wait(CANDIDACY_RETRY_S)
             return
         self._key_free_since = None
-        self._leaders.holder_read(LeaderRecord.from_item(page.items[0]))
-        if self.leader == self.name:
+        self._leaders.record_leader_key(LeaderRecord.from_item(page.items[0]))
+        if self.leader_from_store == self.node_name:
             self._leaders.clear_leader()
             self._release_own_stale_key()
             self._stop.wait(FOLLOW_RETRY_S)
             return
-        feed = self._store.watch(self.key, page.revision, WATCH_TIMEOUT_S)
+        feed = self._store.watch(self.leader_key, page.revision, WATCH_TIMEOUT_S)
         if feed is None:
             self._stop.wait(FOLLOW_RETRY_S)
         elif any(change.get("remove") for change in feed.changes):
@@ -236,8 +236,8 @@
         The key may be another node's by now. Its lease was once ended here, and a second
         leader elected while the first one counted on it.
         """
-        item = self._store.get(self.key)
-        if item is None or LeaderRecord.from_item(item).name != self.name:
+        item = self._store.get(self.leader_key)
+        if item is None or LeaderRecord.from_item(item).node_name != self.node_name:
             return
         if isinstance(item.lease, int):
             self._store.revoke_lease(item.lease)
@@ -256,18 +256,18 @@
         extra_guards = self._conditions.extra_guards()
         if self._now() < self._candidate_after or extra_guards is None:
             return False
-        return self._candidacy.stand(extra_guards)
+        return self._candidacy.attempt_election(extra_guards)
 
     def _begin_leading(self, won: WonElection) -> None:
         token = won.term.fencing_token
         self._lease_id = won.lease_id
         self._fenced.clear()
         self._renewal_failing.clear()
-        self.lease.won(token, won.lease_requested_at, self._operator.leader_lease_s)
-        self._leaders.elected(token)
+        self.lease.begin_term(token, won.lease_requested_at, self._operator.leader_lease_s)
+        self._leaders.record_own_election(token)
         self._key_free_since = None
         log.info("election won shard=%d token=%d", self.shard, token)
-        self._on_won(won.term)
+        self._on_election_won(won.term)
 
     def _renew(self) -> None:
         if self._fenced.is_set():
@@ -290,7 +290,7 @@
             self._renewal_failing.set()
             self._stop.wait(STORE_RETRY_S)
             return
-        self.lease.renewed(sent_at, self._operator.leader_lease_s)
+        self.lease.record_renewal(sent_at, self._operator.leader_lease_s)
         if self._renewal_failing.is_set():
             log.info("lease renewed again shard=%d", self.shard)
             self._renewal_failing.clear()
@@ -298,10 +298,10 @@
 
     def _lose_leadership(self, reason: str) -> None:
         log.info("leadership lost shard=%d reason=%s", self.shard, reason)
-        self.lease.lost()
+        self.lease.end_term()
         self._leaders.clear_leader()
         self._fenced.clear()
         self._handing_over.clear()
         self._renewal_failing.clear()
-        self._on_lost()
+        self._on_leadership_lost()
         self._store.revoke_lease(self._lease_id)
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -245,8 +245,8 @@
         self.router.stop()
         if self.shard_map_follower is not None:
             self.shard_map_follower.stop()
-        if self._context.license_servers is not None:
-            self._context.license_servers.stop()
+        if self._context.license_server_calls is not None:
+            self._context.license_server_calls.stop()
 
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
@@ -281,7 +281,7 @@
         first = self.replicas[0]
         leadership, election = first.lease, first.election
         status = peers.PeerStatus(
-            election.name,
+            election.node_name,
             leadership.is_leader,
             leadership.fencing_token,
             leadership.may_answer(now),
@@ -317,7 +317,7 @@
 
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
-        busy = any(replica.is_busy() for replica in replicas)
+        busy = any(replica.has_pending_work() for replica in replicas)
         event = self._next_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
         began = self.runtime.now()
         handled = 0 if event is None else self._handle_waiting(event)
@@ -325,7 +325,7 @@
             replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
-        elif self._peer_monitor.shard_map_version:
+        elif self._peer_monitor.newest_shard_map_version:
             # A peer follows a shard map that this node has not received.
             self._follow_shard_map()
         scheduler = self.scheduler
