--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -51,7 +51,7 @@
 
 
 class Allocator:
-    """Implements ``placement.counted_resources.CountedResourcePass``."""
+    """Implements ``placement.counted_resource_interfaces.CountedResourcePass``."""
 
     def __init__(self, ledger: Ledger, now: float, starve_s: float) -> None:
         """For one placement pass; work that lacked units for ``starve_s`` seconds has units kept
@@ -88,7 +88,7 @@
                 continue
             if now - since < self._starve_s or len(turns) >= KEPT_FOR:
                 continue
-            if index in ledger.promises or job.not_before > now or (job.gang and job.runs):
+            if index in ledger.promises or job.backoff_until > now or (job.gang and job.runs):
                 continue
             needs = self._needs(job)
             ever = {r: ledger.resources[r].capacity(now) - lasting[r] for r in needs}
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from appleshift.objectives.objectives import Objectives
-from appleshift.placement.counted_resources import CountedResourcePass
+from appleshift.placement.counted_resource_interfaces import CountedResourcePass
 from appleshift.placement.fair_share import PlacementTurn, placement_turns
 from appleshift.placement.gang_placement import GangPlacer
 from appleshift.placement.placement_pass import PlacementPass
@@ -23,17 +23,17 @@
         cluster: ClusterState,
         now: float,
         wall: float,
-        heard_after: float,
+        min_last_heartbeat: float,
         objectives: Objectives | None = None,
         counted_resources: CountedResourcePass | None = None,
     ) -> None:
         """Prepare a pass at monotonic time ``now`` and wall time ``wall``, in seconds.
 
-        Only machines whose last heartbeat is not before ``heard_after`` (monotonic) get
+        Only machines whose last heartbeat is not before ``min_last_heartbeat`` (monotonic) get
         tasks. ``counted_resources`` is None where none are defined.
         """
         self.placement_pass = PlacementPass(
-            cluster, now, wall, heard_after, objectives or Objectives(), counted_resources
+            cluster, now, wall, min_last_heartbeat, objectives or Objectives(), counted_resources
         )
         self._tasks = TaskPlacer(self.placement_pass)
         self._gangs = GangPlacer(self.placement_pass)
@@ -68,5 +68,5 @@
         missing = self._gangs.place(job) if job.gang else self._tasks.place(job, turn.max_tasks)
         if missing and turn.max_tasks is None:
             shared.result.shortages.append(Shortage(job, missing))
-            if shared.preempt and shared.is_patience_over(job):
+            if shared.preempt and shared.preemption_delay_is_over(job):
                 shared.result.preempted += shared.preemption.victims(job, missing)
--- a/appleshift/placement/leftovers.py
+++ b/appleshift/placement/spare_gpu_machine_capacity.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from appleshift.placement.eligible_machines import EligibleMachines
-from appleshift.placement.fit import FailedNeeds, may_run_beside_gpus, tasks_that_fit
+from appleshift.placement.fit import PlacementFailures, may_share_gpu_machine, tasks_that_fit
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import EPSILON
 
 
-class GpuMachineLeftovers:
+class SpareGpuMachineCapacity:
     """CPUs and memory of GPU machines that no GPU work will need, in one placement pass."""
 
     def __init__(self, cluster: ClusterState, machines: EligibleMachines) -> None:
@@ -18,7 +18,7 @@
         self._machines = machines
         self._free: dict[int, tuple[float, float]] | None = None
         """CPUs and memory in GB by machine index, where any are left."""
-        self.failed_needs = FailedNeeds()
+        self.placement_failures = PlacementFailures()
 
     def machines_for(self, job: Job) -> list[Machine]:
         """Machines with leftovers for a task of the job, in the order of first fit.
@@ -27,12 +27,12 @@
         may use.
         """
         spec = job.spec
-        if not may_run_beside_gpus(job) or self._cluster.needs_per_gpu is None:
+        if not may_share_gpu_machine(job) or self._cluster.needs_per_gpu is None:
             return []
         if self._free is None:
             self._free = self._find()
         key = self._machines.placement_key(job)
-        if not self._free or self.failed_needs.covers(key, spec):
+        if not self._free or self.placement_failures.covers(key, spec):
             return []
         found = [
             machine
@@ -40,7 +40,7 @@
             if machine.index in self._free and self.tasks_that_fit(machine, job) > 0
         ]
         if not found and not job.avoided_machines:
-            self.failed_needs.add(key, spec)
+            self.placement_failures.add(key, spec)
         return self._machines.in_first_fit_order(job, found)
 
     def tasks_that_fit(self, machine: Machine, job: Job) -> int:
@@ -62,12 +62,12 @@
 
     def _find(self) -> dict[int, tuple[float, float]]:
         free = {}
-        unclaimed = self._cluster.spot_gpus_unclaimed()
+        unclaimed = self._cluster.gpu_jobs_exclude_spot()
         for (kind, _, _), machines in self._machines.pools.items():
             gpus = self._cluster.types[kind].gpus
             if gpus <= 0:
                 continue
-            beside_gpus = self._cluster.left_beside_gpus(kind)
+            beside_gpus = self._cluster.resources_unneeded_by_gpu_jobs(kind)
             for machine in machines:
                 if machine.spot and unclaimed:
                     free[machine.index] = (machine.free_cpus, machine.free_memory)
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -173,7 +173,7 @@
     ]
 
 
-class RecordFollower(Protocol):
+class RecordConsumer(Protocol):
     """Follows durable records, for the audit of counted resources."""
 
     def apply(self, record: Record) -> None:
@@ -184,7 +184,7 @@
     """Rebuilds the state of a shard from a snapshot and the log after it."""
 
     def __init__(
-        self, cluster: ClusterState, make_audit_log: Callable[[int], RecordFollower] | None = None
+        self, cluster: ClusterState, make_audit_log: Callable[[int], RecordConsumer] | None = None
     ) -> None:
         """Fill ``cluster``.
 
@@ -193,14 +193,14 @@
         """
         self.cluster = cluster
         self.make_audit_log = make_audit_log
-        self.audit_log: RecordFollower | None = None
+        self.audit_log: RecordConsumer | None = None
         self.audit_entries_written = 0
         # Definitions of the counted resources in force, by name, as they were recorded.
         self.counted_resources: dict[str, Any] = {}
-        self.groups: Any = None
+        self.spot_group_names: Any = None
         self.unsaved_final_states: list[tuple[str, int]] = []
         # All submissions that the log still holds, those of ended jobs included.
-        self.arrivals: list[tuple[float, Submission]] = []
+        self.submissions: list[tuple[float, Submission]] = []
         # (job, task) -> (attempt, machine name, agent epoch): where a task may be.
         self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
@@ -236,13 +236,13 @@
         job = self.cluster.add_job(index, spec, submitted, bool(partition))
         job.accepted = True
         if not partition:
-            self.arrivals.append((submitted, spec))
+            self.submissions.append((submitted, spec))
 
     def _apply_machine_type(self, record: Record) -> None:
-        self.cluster.set_types([msgspec.convert(record[1], MachineType)])
+        self.cluster.update_machine_types([msgspec.convert(record[1], MachineType)])
 
     def _apply_spot_groups(self, record: Record) -> None:
-        self.groups = record[1]
+        self.spot_group_names = record[1]
 
     def _apply_machine(self, record: Record) -> None:
         _, name, addr, type_name, zone, spot, *transfer = record
@@ -256,13 +256,13 @@
         handed_off = HandedOffMachine(*record[1:])
         machine = self.cluster.machine(handed_off.name)
         if machine is not None:
-            self.cluster.forget_machine(machine)
+            self.cluster.remove_machine(machine)
         self.cluster.handed_off[handed_off.name] = handed_off
 
     def _apply_machine_deleted(self, record: Record) -> None:
         machine = self.cluster.machine(record[1])
         if machine is not None:
-            self.cluster.drop_machine(machine)
+            self.cluster.remove_deleted_machine(machine)
 
     def _apply_counted_resource(self, record: Record) -> None:
         if self.audit_log is None and self.make_audit_log is not None:
@@ -319,7 +319,7 @@
         for task in range(job.spec.tasks):
             self.task_locations.pop((job.index, task), None)
         self.unsaved_final_states.append((job.key, job.status))
-        self.cluster.retire(job)
+        self.cluster.remove_job(job)
 
 
 _CLUSTER_RECORDS: dict[str, Callable[[LogReplayer, Record], None]] = {
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -9,14 +9,14 @@
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
 from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.wire import ProtocolError
 from appleshift.scheduler.dependencies import SchedulerDependencies
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError
 from appleshift.storage.keys import shard_prefix
-from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.records import LogReplayer, RecordConsumer
 from appleshift.storage.recovery import RecoveredLog, recover
 from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.client import ClientError
@@ -135,7 +135,7 @@
     )
 
 
-def _make_audit_log(written_entries: int) -> RecordFollower:
+def _make_audit_log(written_entries: int) -> RecordConsumer:
     """Return the audit log, which follows the log from its first counted resource on.
 
     ``written_entries`` is the number of entries that are already in durable pages.
