--- a/appleshift/leader_election/leader_tracker.py
+++ b/appleshift/leader_election/leader_tracker.py
@@ -40,12 +40,12 @@
         self._leader_token = 0
         self._peer_claims: dict[str, PeerClaim] = {}
 
-    def record_leader_key(self, holder: LeaderRecord) -> None:
+    def record_leader_key(self, record: LeaderRecord) -> None:
         """Record the leader and the fencing token that the leader key names."""
-        self._leader_token = holder.fencing_token
-        self.last_leader_from_store = holder.node_name
-        if holder.node_name != self.leader_from_store:
-            self.leader_from_store, self._leader_since = holder.node_name, self._now()
+        self._leader_token = record.fencing_token
+        self.last_leader_from_store = record.node_name
+        if record.node_name != self.leader_from_store:
+            self.leader_from_store, self._leader_since = record.node_name, self._now()
 
     def record_own_election(self, fencing_token: int) -> None:
         """Record that this node was elected."""
