--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -1,7 +1,7 @@
-"""The state of a shard as its leader knows it.
+"""The in-memory state of a shard on its leader.
 
-Names are small integers inside: jobs, machines, teams, zones, machine types and images
-have an index each, and tasks are positions in their job's arrays.
+Jobs, machines, teams, zones, machine types and images are identified by small integer
+indices, and tasks by their position in the arrays of their job.
 """
 
 from __future__ import annotations
@@ -19,36 +19,36 @@
 from appleshift.state.teams import Team
 
 RUN_TIME_RATIO_WEIGHT = 0.02
-"""Weight of one finished task in the average run ratio of its job class."""
+"""Weight of one finished task in the moving average of run time ratios of its job class."""
 ESTIMATE_WEIGHT_TASKS = 3.0
-"""The corrected estimate weighs as much as this many finished tasks of the job."""
+"""Weight of the corrected estimate, as a number of finished tasks of the job."""
 MAX_RUN_TIME_RATIO = 10.0
-"""A single task counts at most this many times its estimate."""
+"""Upper limit of the ratio of a single task's run time to its estimate."""
 
 
 class CountedResourceTracker(Protocol):
-    """Keeps count of resources of the whole cluster, such as licences, if any are defined."""
+    """Tracks the use of resources counted across the whole cluster, such as licences."""
 
     def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
-        """Return what each task of a job holds: (resource, count)."""
+        """Return the counted resources that each task of a job holds: (resource, count)."""
         ...
 
     def max_concurrent_tasks(self, spec: Submission) -> int:
-        """Return how many of a job's tasks can ever hold what they need at once."""
+        """Return how many tasks of a job can ever hold their counted resources at the same time."""
         ...
 
     def assigned(self, run: TaskRun) -> None:
-        """Take what a task holds, as it may be on a machine from now on."""
+        """Reserve the counted resources of a task that may be on a machine from now on."""
 
     def freed(self, run: TaskRun) -> None:
-        """Return what a task held, as it is certainly on no machine any more."""
+        """Release the counted resources of a task that is certainly on no machine any more."""
 
 
 class ClusterState:
     """All jobs, machines and teams of a shard, by index."""
 
     def __init__(self, zones: list[str], teams: list[TeamLimits]) -> None:
-        """Start without jobs and machines; the teams are fixed by the settings."""
+        """Create a state without jobs and machines; the settings define the teams."""
         self.zones = NameIndex()
         for zone in zones:
             self.zones.add(zone)
@@ -67,21 +67,22 @@
         self.machine_names = NameIndex()
         self.machines: dict[int, Machine] = {}
         self.deleted_machines: set[str] = set()
-        # Machines handed off to other shards: none of them is adopted again unless it is
-        # handed back.
+        # Machines handed off to other shards, by name. This shard adopts such a machine only
+        # if it is handed back.
         self.handed_off: dict[str, HandedOffMachine] = {}
-        # How many tasks of each rank may be on machines.
+        # By priority rank: the number of tasks that may be on machines.
         self._runs_by_rank = [0] * len(RANKS)
-        # By job class: the ratio of tasks' run time to their estimate, a moving average.
+        # By job class: the moving average of the ratio of run time to estimate of its tasks.
         self.run_time_ratios: dict[str, float] = {}
-        # The most CPUs and memory (GB) that a job with GPUs needed for one GPU.
+        # The most CPUs and the most memory (GB) per GPU that any job with GPUs has requested;
+        # None: there was no job with GPUs.
         self.needs_per_gpu: tuple[float, float] | None = None
-        # Whether any job with GPUs may use spot machines.
+        # Whether any job with GPUs has allowed spot machines.
         self._gpu_jobs_on_spot = False
         self.counted_resources: CountedResourceTracker | None = None
 
     def update_machine_types(self, types: list[MachineType]) -> bool:
-        """Add machine types or update their prices; return whether any type is new."""
+        """Add machine types and replace those already present; return whether any type is new."""
         any_new = False
         for machine_type in types:
             index = self.type_names.add(machine_type.name)
@@ -100,7 +101,7 @@
     def add_job(
         self, index: int, spec: Submission, submitted: float, partition: bool = False
     ) -> Job:
-        """Add a job, or a partition of another shard's job, under an index never used before."""
+        """Add a job, or a partition of another shard's job, under a previously unused index."""
         job = Job(index, spec, submitted, partition)
         job.team = self.team_names.get(spec.team)
         job.image = self.images.add(spec.image)
@@ -110,11 +111,11 @@
         self.jobs[index] = job
         self.job_by_id[job.key] = job
         if spec.gpus > 0:
-            self._learn_needs_per_gpu(spec)
+            self._update_needs_per_gpu(spec)
         self.next_job_index = max(self.next_job_index, index + 1)
         return job
 
-    def _learn_needs_per_gpu(self, spec: Submission) -> None:
+    def _update_needs_per_gpu(self, spec: Submission) -> None:
         self._gpu_jobs_on_spot = self._gpu_jobs_on_spot or spec.spot
         cpus, memory = self.needs_per_gpu or (0.0, 0.0)
         self.needs_per_gpu = (
@@ -123,7 +124,7 @@
         )
 
     def eligible_types(self, job: Job) -> list[bool]:
-        """Return, by type index, whether a task of a job may run on a machine of the type."""
+        """Return, by machine type index, whether tasks of a job may run on that type."""
         if job.eligible_types is None:
             allowed = job.spec.types
             job.eligible_types = [
@@ -134,13 +135,13 @@
         return job.eligible_types
 
     def machine(self, name: str) -> Machine | None:
-        """Return the machine of a name, unless it is gone or was never here."""
+        """Return the machine with a name; None if the shard has no such machine (any more)."""
         return self.machines.get(self.machine_names.get(name))
 
     def add_machine(self, name: str, type_name: str, zone: str, spot: bool) -> Machine | None:
-        """Return the machine of a name, added if it is new.
+        """Return the machine with a name, and add it if it is new.
 
-        None if it was deleted, or if its type is not known (yet).
+        None if the machine was deleted, or if its machine type has not been added yet.
         """
         existing = self.machine(name)
         if existing is not None or name in self.deleted_machines:
@@ -157,7 +158,7 @@
     def assign(
         self, job: Job, task: int, attempt: int, machine: Machine, agent_epoch: int
     ) -> TaskRun:
-        """Put a task on a machine: from now on it counts as being there."""
+        """Assign a task to a machine and reserve its resources there."""
         run = TaskRun(job, task, attempt, machine, agent_epoch)
         job.runs[task] = run
         job.pending.discard(task)
@@ -173,9 +174,9 @@
         return run
 
     def free(self, run: TaskRun) -> None:
-        """Take a task off its machine, where it certainly is no longer.
+        """Release the resources of a task run that is certainly no longer on its machine.
 
-        Nothing happens if that was done before.
+        A second call for the same task run does nothing.
         """
         job = run.job
         if job.runs.get(run.task) is not run:
@@ -192,11 +193,11 @@
             self.counted_resources.freed(run)
 
     def max_rank_on_machines(self) -> int:
-        """Return the largest rank of which a task may be on some machine; -1 without any."""
+        """Return the largest priority rank among tasks that may be on machines; -1 if none."""
         return max((rank for rank, tasks in enumerate(self._runs_by_rank) if tasks), default=-1)
 
     def finish_task(self, job: Job, task: int) -> bool:
-        """Count a task as done; return False if it was done already."""
+        """Mark a task as done; return False if it was done already."""
         if job.done[task]:
             return False
         job.done[task] = 1
@@ -206,7 +207,7 @@
         return True
 
     def record_run_time(self, job: Job, seconds: float) -> None:
-        """Correct the estimates of a job's class by the run time of a finished task."""
+        """Update the run time ratio of a job's class with the run time of a finished task."""
         if job.spec.estimate_s <= 0:
             return
         ratio = min(MAX_RUN_TIME_RATIO, seconds / job.spec.estimate_s)
@@ -216,7 +217,10 @@
         )
 
     def resources_unneeded_by_gpu_jobs(self, type_index: int) -> tuple[float, float]:
-        """Return CPUs and memory (GB) of a machine that jobs with GPUs will not need."""
+        """Return the CPUs and memory (GB) of a machine type that jobs with GPUs do not need.
+
+        Both are 0 as long as there was no job with GPUs.
+        """
         machine_type = self.types[type_index]
         if self.needs_per_gpu is None:
             return 0.0, 0.0
@@ -227,14 +231,14 @@
         )
 
     def gpu_jobs_exclude_spot(self) -> bool:
-        """Return whether there were jobs with GPUs, and none that may use spot machines."""
+        """Return whether there were jobs with GPUs, none of which may use spot machines."""
         return self.needs_per_gpu is not None and not self._gpu_jobs_on_spot
 
     def expected_run_s(self, job: Job) -> float:
-        """Return a task's expected run time in seconds.
+        """Return the expected run time of a job's tasks in seconds.
 
-        The user's estimate is corrected by the run times of the job's class, then by
-        those of the job itself, whose tasks are more alike.
+        The user's estimate is corrected first by the run times of the job's class and then
+        by the run times of the job's own finished tasks, which are more alike.
         """
         estimate = job.spec.estimate_s * self.run_time_ratios.get(job.spec.job_class, 1.0)
         weight = job.completed_runs / (job.completed_runs + ESTIMATE_WEIGHT_TASKS)
@@ -242,17 +246,17 @@
         return estimate + (mean - estimate) * weight
 
     def remove_job(self, job: Job) -> None:
-        """Forget a job that is over, but for its final state."""
+        """Remove a job that has ended and keep its final state."""
         self.final_states[job.key] = job.status
         self.jobs.pop(job.index, None)
         self.job_by_id.pop(job.key, None)
 
     def remove_deleted_machine(self, machine: Machine) -> None:
-        """Remove a machine that is gone for good: its name is never used again."""
+        """Remove a deleted machine; its name is never added again."""
         self.remove_machine(machine)
         self.deleted_machines.add(machine.name)
 
     def remove_machine(self, machine: Machine) -> None:
-        """Remove a machine that may come back under its name."""
+        """Remove a machine that may be added again under the same name."""
         machine.status = DELETED
         self.machines.pop(machine.index, None)
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -1,8 +1,8 @@
 """Jobs, task runs and machines.
 
 The three classes refer to each other, so they share a module: import cycles are not
-allowed, not even for types. Their layout is flat, with slots, since each heartbeat and
-placement pass reads them.
+allowed, not even for type annotations. They use slots because each heartbeat and each
+placement pass reads their attributes.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 
 
 def partition_key(job_id: str) -> str:
-    """Return the key of a partition of a job; no user can choose such an id."""
+    """Return the key of a partition of a job; no job id submitted by a user can equal it."""
     return f"{job_id}+"
 
 
 class TaskRun:
     """One attempt of a task in one agent epoch of a machine.
 
-    It exists from the assignment until there is proof that the worker holds nothing
-    of it any more; ``job.runs[task]`` refers to it only as long as the task may be on
-    the machine. Times are in seconds of the leader's clock.
+    A task run exists from its assignment until the worker has certainly discarded the
+    attempt. ``job.runs[task]`` refers to the task run only while the task may be on the
+    machine. Times are in seconds of the leader's clock.
     """
 
     __slots__ = (
@@ -61,7 +61,7 @@
     def __init__(
         self, job: Job, task: int, attempt: int, machine: Machine, agent_epoch: int
     ) -> None:
-        """Assign a task; ``ClusterState.assign`` also reserves its resources."""
+        """Create a task run; ``ClusterState.assign`` also reserves its resources."""
         self.job = job
         self.task = task
         self.attempt = attempt
@@ -69,17 +69,19 @@
         self.agent_epoch = agent_epoch
         self.name = f"{job.spec.id}/{task}"
         self.state = ASSIGNED
-        # The priority rank with which it was placed: its job's, or a higher priority if the
-        # job was served before others. Work of the same priority does not preempt it.
+        # The priority rank with which the task was placed: the rank of its job, or a lower
+        # rank (higher priority) if the job was placed before others. Jobs of the same rank
+        # do not preempt the task.
         self.rank = job.rank
         self.assignment_durable = False
         self.exit_durable = False
         self.start_sent = False
-        # Starts sent directly that got no answer. One may still arrive late, so the worker
-        # must keep the finished attempt in memory and is not told to clear it.
+        # Number of start commands sent directly that got no response. One of them may still
+        # arrive late, so the worker must keep the finished attempt in memory and the leader
+        # sends no command to clear it.
         self.unconfirmed_starts = 0
-        # Whether this leader's term ordered it. Late starts of earlier terms are rejected
-        # once the worker has seen this term's fencing token.
+        # Whether the start was ordered in the current term. The worker rejects late start
+        # commands of earlier terms once it has received this term's fencing token.
         self.ordered_this_term = True
         self.stop_grace_s: float | None = None
         self.stop_ordered_at = 0.0
@@ -87,7 +89,7 @@
 
 
 class Job:
-    """A submitted job until it is over and none of its tasks may be on a machine.
+    """A submitted job, until it has ended and none of its tasks may be on a machine.
 
     Times are in seconds of the leader's clock.
     """
@@ -129,12 +131,12 @@
     def __init__(
         self, index: int, spec: Submission, submitted: float, partition: bool = False
     ) -> None:
-        """Create a job; ``partition``: some tasks of a job that another shard owns."""
+        """Create a job; with ``partition``, it is a part of a job that another shard owns."""
         self.index = index
         self.spec = spec
-        # The id under which it is found. A partition of another shard's job must not be
-        # found by the job's own id: when the shard map changed, a finished partition was
-        # once reported as the whole job.
+        # The key in ``ClusterState.job_by_id``. A partition of another shard's job must not
+        # be found under the id of the job: when the shard map changed, a finished partition
+        # was reported as the whole job.
         self.key = partition_key(spec.id) if partition else spec.id
         self.submitted = submitted
         self.rank = RANKS[spec.priority]
@@ -151,26 +153,28 @@
         self.avoided_machines: dict[int, float] = {}
         self.backoff_s = 0.0
         self.backoff_until = 0.0
-        # The zone in which a gang collects machines; -1: none yet.
+        # The zone in which machines are collected for a gang; -1: none yet.
         self.gathering_zone = -1
-        # Since when its replicas wait for room on machines that hold their image.
+        # Since when the replicas of a service wait for room on machines that have their image.
         self.waiting_for_image_since = 0.0
-        # Sum and number of the run times of its finished tasks, to compare machines by.
+        # Sum (seconds) and number of the run times of its finished tasks. They correct the
+        # estimate and reveal slow machines.
         self.completed_run_s = 0.0
         self.completed_runs = 0
-        # Indices in ``ClusterState``; -1: none.
+        # Indices of the team, image and zone in ``ClusterState``; -1: none.
         self.team = -1
         self.image = -1
         self.zone = -1
         self.eligible_types: list[bool] | None = None
         # Counted resources that each task holds: (resource, count).
         self.counted_needs: tuple[tuple[int, int], ...] = ()
-        # Tasks that other shards run: their ranges as (shard, first task, count), which of
-        # them are not done, and how many run by the latest reports.
+        # Ranges of tasks that other shards run: (shard, first task, count).
         self.partitions: tuple[tuple[int, int, int], ...] = ()
+        # Tasks of those partitions that are not done.
         self.remote_tasks: set[int] = set()
+        # Number of tasks that run in other shards, by the latest reports.
         self.remote_running = 0
-        # Its user cancelled it, and not all other shards have ended their tasks of it.
+        # Whether the user cancelled the job and some other shard has not yet ended its tasks.
         self.cancel_requested = False
 
     @property
@@ -184,16 +188,16 @@
         return self.spec.shape == SERVICE
 
     def running(self) -> int:
-        """Return the number of tasks that run, here or in other shards."""
+        """Return the number of running tasks in this and other shards."""
         local = sum(1 for run in self.runs.values() if run.state in (RUNNING, SAVING))
         return local + self.remote_running
 
     def remaining(self) -> int:
-        """Return the number of tasks that are still to be done in this shard."""
+        """Return the number of tasks that this shard still has to complete."""
         return self.spec.tasks - self.done_count - len(self.remote_tasks)
 
     def assign_partitions(self, partitions: list[list[int]]) -> None:
-        """Leave tasks to other shards: (shard, first task, count) each."""
+        """Assign ranges of tasks to other shards: (shard, first task, count) each."""
         self.partitions = tuple((shard, start, count) for shard, start, count in partitions)
         for _, start, count in self.partitions:
             for task in range(start, start + count):
@@ -203,9 +207,9 @@
 
 
 class Machine:
-    """A rented machine, from the answer to the rental until it is certainly gone.
+    """A rented machine, from the response to the rental until it is certainly deleted.
 
-    Times are in seconds of the leader's clock; 0 or None where nothing happened yet.
+    Times are in seconds of the leader's clock; 0 or None: the event has not happened yet.
     """
 
     __slots__ = (
@@ -258,7 +262,7 @@
     def __init__(
         self, index: int, name: str, type_index: int, spec: MachineType, zone: int, spot: bool
     ) -> None:
-        """Create an empty machine that has not reported yet."""
+        """Create an empty machine that has not sent a heartbeat yet."""
         self.index = index
         self.name = name
         self.addr = ""
@@ -266,11 +270,13 @@
         self.zone = zone
         self.spot = spot
         self.status = BOOTING
-        # Rented and counted against limits here, but used by another shard.
+        # Whether the machine is used by another shard, though this shard rented it and counts
+        # it against its limits.
         self.in_other_shard = False
-        # How often it was handed off from one shard to another, and the fencing token that
-        # its worker may have seen there: it rejects commands with a lower one.
+        # How often the machine was handed off from one shard to another.
         self.transfer_count = 0
+        # The fencing token that the worker may have received from the former shard. The
+        # worker rejects commands with a lower token.
         self.min_fencing_token = 0
         self.agent_epoch = 0
         self.seq = -1
@@ -282,15 +288,16 @@
         self.unknown_runs: dict[tuple[str, int], bool] = {}
         self.images: OrderedDict[int, float] = OrderedDict()
         self.last_contact_at = 0.0
-        # Agent epoch and sequence number of its newest heartbeat, and when it came; answers
-        # to direct commands count in ``seq`` and ``last_contact_at`` as well.
+        # Agent epoch and sequence number of the newest heartbeat. ``seq`` and
+        # ``last_contact_at`` also include responses to direct commands.
         self.last_heartbeat_id = (0, -1)
+        # When the newest heartbeat arrived.
         self.last_heartbeat_at = -math.inf
-        # Since when nothing shows that commands reach it (0: they do), and how many heartbeats
-        # came meanwhile.
+        # Since when there is no evidence that commands reach the machine; 0: they do.
         self.commands_unconfirmed_since = 0.0
+        # Number of heartbeats that arrived since ``commands_unconfirmed_since``.
         self.heartbeats_while_unconfirmed = 0
-        # It may answer commands, but no heartbeat of it arrives.
+        # Whether no heartbeats arrive, although the machine may respond to commands.
         self.without_heartbeats = False
         self.lease_until = 0.0
         self.listed_at: float | None = None
@@ -305,45 +312,51 @@
         self.commands_in_flight = False
         self.unanswered_probes = 0
         self.probe_in_flight = False
-        # Where unchanged heartbeats leave their time of arrival; owned by the scheduler.
+        # The scheduler's entry for this machine on the fast path, which records the arrival
+        # times of heartbeats without changes.
         self.fast_path_entry: Any = None
+        # By job index: when a task of the job last failed on this machine.
         self.last_failure_by_job: dict[int, float] = {}
         self.avoid_until = 0.0
         self.quarantined = False
+        # Moving average of run times on this machine relative to the mean of the same job.
         self.slowness = 1.0
         self.slowness_samples = 0
 
     def schedulable(self) -> bool:
-        """Return whether tasks may be placed on it."""
+        """Return whether tasks may be placed on the machine."""
         leaving = self.draining or self.cordoned or self.deletion_requested
         doubtful = self.quarantined or self.without_heartbeats or self.commands_unconfirmed_since
         return self.status == UP and not (leaving or doubtful or self.in_other_shard)
 
     def needs_no_commands(self) -> bool:
-        """Return whether every task on it goes on without a command until it ends by itself."""
+        """Return whether every task on the machine can run to its end without further commands."""
         return not self.unknown_runs and all(
             run.stop_grace_s is None and run.state in (FETCHING, WAITING, RUNNING)
             for run in self.runs.values()
         )
 
     def empty(self) -> bool:
-        """Return whether no task can be on it; exited ones may still be in its heartbeats."""
+        """Return whether no task can be on the machine; heartbeats may still list exited tasks."""
         return all(run.state == EXITED for run in self.runs.values())
 
     def reserve(self, spec: Submission) -> None:
-        """Take the resources of a task of a job."""
+        """Reserve the resources of one task of a job."""
         self.free_cpus -= spec.cpus
         self.free_gpus -= spec.gpus
         self.free_memory -= spec.memory_gb
 
     def release(self, spec: Submission) -> None:
-        """Return the resources of a task of a job."""
+        """Release the resources of one task of a job."""
         self.free_cpus += spec.cpus
         self.free_gpus += spec.gpus
         self.free_memory += spec.memory_gb
 
     def cache_image(self, image: int, size_gb: float, cache_gb: float) -> None:
-        """Model the worker's image cache of ``cache_gb``: it evicts the least recently used."""
+        """Add an image to the model of the worker's cache.
+
+        Above ``cache_gb``, the least recently used images are evicted.
+        """
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
--- a/appleshift/state/handed_off_machines.py
+++ b/appleshift/state/handed_off_machines.py
@@ -1,4 +1,4 @@
-"""Machines that this shard handed off to another."""
+"""Machines that this shard handed off to other shards."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOffMachine:
-    """A machine that was handed off. Its former shard remembers it for good."""
+    """A machine that was handed off; its former shard keeps this entry permanently."""
 
     name: str
     addr: str
@@ -17,6 +17,6 @@
     shard: int
     """The shard that received it."""
     transfer_count: int
-    """How often it has been handed off, this time included."""
+    """How often the machine has been handed off, including this time."""
     fencing_token: int
-    """The token that its worker may have seen in the former shard."""
+    """The fencing token that the worker may have received from the former shard."""
--- a/appleshift/state/name_index.py
+++ b/appleshift/state/name_index.py
@@ -1,15 +1,15 @@
-"""Dense indices for names, and ranges as a compact form of sorted numbers."""
+"""Dense indices for names, and the encoding of sorted numbers as ranges."""
 
 from __future__ import annotations
 
 
 class NameIndex:
-    """Assigns each new name the next small integer, for good."""
+    """Assigns consecutive indices to names; an index is never reassigned."""
 
     __slots__ = ("_indices", "names")
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty index."""
         self.names: list[str] = []
         self._indices: dict[str, int] = {}
 
@@ -18,7 +18,7 @@
         return len(self.names)
 
     def add(self, name: str) -> int:
-        """Return the index of a name, which is assigned if the name is new."""
+        """Return the index of a name; a new name gets the next index."""
         index = self._indices.get(name)
         if index is None:
             index = self._indices[name] = len(self.names)
@@ -31,7 +31,10 @@
 
 
 def to_ranges(numbers: list[int]) -> list[int]:
-    """Return numbers as a flat list of [first, last] pairs; tasks mostly change in ranges."""
+    """Return numbers as a flat list of [first, last] pairs.
+
+    Tasks mostly change in contiguous ranges, so this is shorter than a list of numbers.
+    """
     flat: list[int] = []
     for number in sorted(numbers):
         if flat and number <= flat[-1] + 1:
@@ -42,7 +45,7 @@
 
 
 def from_ranges(flat: list[int]) -> list[int]:
-    """Return the numbers of flat [first, last] pairs; the inverse of ``to_ranges``."""
+    """Return the numbers in a flat list of [first, last] pairs; the inverse of ``to_ranges``."""
     return [
         number
         for first, last in zip(flat[::2], flat[1::2], strict=True)
--- a/appleshift/state/states.py
+++ b/appleshift/state/states.py
@@ -1,7 +1,7 @@
 """States of task runs, machines and jobs, and final states of jobs.
 
-They are plain integers since placement passes and heartbeats compare them all the time.
-Those of jobs are stored in the log.
+They are plain integers because placement passes and heartbeats compare them very often.
+The states of jobs are stored in the write-ahead log.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
     "saving": SAVING,
     "exited": EXITED,
 }
-"""States as heartbeats name them."""
+"""States of task runs by their names in heartbeats."""
 
 BOOTING, UP, DELETED = range(3)
 """States of a machine."""
 
 OPEN, FINISHED, CANCELLED = range(3)
-"""States of a job; all but OPEN are final."""
+"""States of a job; all except OPEN are final."""
 
 FORWARDED = 8
-"""Among final states: another shard decides on the job. This number plus the shard's."""
+"""Final state of a job that another shard owns: this value plus the number of that shard."""
--- a/appleshift/state/teams.py
+++ b/appleshift/state/teams.py
@@ -1,4 +1,4 @@
-"""A team's use of machines and its limits."""
+"""The resources that a team uses, and its limits."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class Team:
-    """CPUs and GPUs of machines that a team's tasks may be on."""
+    """A team's limits, and the CPUs and GPUs of its tasks that may be on machines."""
 
     limits: TeamLimits
     cpus: float = 0.0
     gpus: float = 0.0
 
     def within_limits(self, cpus: float, gpus: float) -> bool:
-        """Return whether the team may use so much more now. A limit of 0 means none."""
+        """Return whether the team may use this much more now; a limit of 0 means unlimited."""
         limits = self.limits
         cpus_ok = limits.cpus_max <= 0 or self.cpus + cpus <= limits.cpus_max + EPSILON
         gpus_ok = limits.gpus_max <= 0 or self.gpus + gpus <= limits.gpus_max + EPSILON
         return cpus_ok and gpus_ok
 
     def can_ever_fit(self, cpus: float, gpus: float) -> bool:
-        """Return whether the team's limits allow so much while it uses nothing else."""
+        """Return whether the team's limits allow this much while the team uses nothing else."""
         limits = self.limits
         return not (
             (limits.cpus_max > 0 and cpus > limits.cpus_max + EPSILON)
