--- a/appleshift/storage/__init__.py
+++ b/appleshift/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: the key-value store client, the write-ahead log, snapshots and recovery."""
+"""Durable state: key-value store client, write-ahead log, snapshots and recovery."""
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -13,52 +13,52 @@
 from appleshift.transport.rate_limiter import RateLimiter
 
 PAGE_ITEMS = 1000
-"""Keys of a page: as many as the service puts into an answer. It also cuts an answer short by
-size, so asking for fewer only costs requests: with pages of 60 a new leader waited a second
-for its own rate limit."""
+"""Most keys that the store returns in one page. The store also limits a page by size, so
+smaller pages only cost requests: with pages of 60 keys, a new leader waited a second for its
+own rate limit."""
 WATCH_TIMEOUT_MARGIN_S = 2.0
-"""How much longer than it asked the service to hold a watch a client waits for the answer."""
+"""Seconds that the client waits for a response beyond the hold time of the watch request."""
 
 _Answer = TypeVar("_Answer")
 
 
 class StoreError(AppleshiftError):
-    """The store gave no usable answer."""
+    """The store returned no usable response."""
 
     def __init__(self, reason: str, refused: bool) -> None:
-        """Describe the failure; ``refused``: the store certainly did nothing."""
+        """Create the error; ``refused``: the store certainly did not execute the request."""
         super().__init__(reason)
         self.refused = refused
 
 
 class LeaseExpiredError(AppleshiftError):
-    """The lease has ended."""
+    """The store's lease has expired."""
 
 
 class CompareFailedError(AppleshiftError):
-    """Guards of a transaction do not hold, and nothing of it was applied."""
+    """Some guards of a transaction do not hold, so none of its changes was applied."""
 
     def __init__(self, failed: list[str]) -> None:
-        """Name the keys whose guards failed."""
+        """Create the error; ``failed`` holds the keys whose guards do not hold."""
         super().__init__(", ".join(failed))
         self.failed = failed
 
 
 class KeyValueStore:
-    """A blocking client with a rate limit; every call may raise ``StoreError``.
+    """A blocking client of the store with a rate limit.
 
-    Timeouts are in seconds.
+    Every request may raise ``StoreError``. Timeouts are in seconds.
     """
 
     def __init__(self, client: HttpCaller, rps: float, runtime: Runtime) -> None:
-        """Use ``client`` for at most ``rps`` requests a second."""
+        """Create a client that sends at most ``rps`` requests per second through ``client``."""
         self._client = client
         self._rate_limiter = RateLimiter(runtime, max(1.0, rps))
         self.is_answering = False
-        """Whether the store answered the last request."""
+        """Whether the store answered the last request with a status below 500."""
 
     def _call(self, method: str, path: str, body: Any, timeout: float) -> tuple[int, bytes]:
-        """Send one request; return its status, which is below 500 and not 429, and body."""
+        """Send one request; return the status, which is below 500 and not 429, and the body."""
         self._rate_limiter.acquire()
         try:
             data = None if body is None else encode(body)
@@ -83,19 +83,19 @@
             raise StoreError(f"unreadable answer: {error.reason}", refused=False) from error
 
     def get(self, key: str, timeout: float = 1.0) -> kv.Item | None:
-        """Return the item under a key, if there is one."""
+        """Return the item with a key; None if the key does not exist."""
         status, body = self._call("GET", f"/kv/{key}", None, timeout)
         if status == 404:
             return None
         return self._decode(status, body, kv.decode_item)
 
     def read_page(self, prefix: str, after: str, limit: int, timeout: float = 2.0) -> kv.Page:
-        """Return up to ``limit`` items under a prefix whose keys follow ``after``."""
+        """Return up to ``limit`` items under a prefix, from the first key after ``after``."""
         status, body = self._call("GET", kv.page_path(prefix, after, limit), None, timeout)
         return self._decode(status, body, kv.decode_page)
 
     def read_all(self, prefix: str, after: str = "") -> list[kv.Item]:
-        """Return all items under a prefix, in the order of their keys."""
+        """Return all items under a prefix with keys after ``after``, in key order."""
         items: list[kv.Item] = []
         while True:
             page = self.read_page(prefix, after, PAGE_ITEMS)
@@ -111,8 +111,8 @@
 
         Raises:
             CompareFailedError: a guard does not hold.
-            LeaseExpiredError: a lease that a change names has ended; the store answers
-                a malformed transaction alike.
+            LeaseExpiredError: a lease that a change refers to has expired, or the
+                transaction is malformed; the store returns the same status for both.
         """
         status, body = self._call("POST", "/txn", kv.transaction_body(guards, changes), timeout)
         if status == 409:
@@ -122,7 +122,7 @@
         return self._decode(status, body, kv.decode_transaction)
 
     def grant_lease(self, ttl_s: float, timeout: float = 1.0) -> int:
-        """Return the number of a new lease."""
+        """Create a lease with a time to live of ``ttl_s`` seconds; return its number."""
         status, body = self._call("POST", "/leases", kv.lease_body(ttl_s), timeout)
         return self._decode(status, body, kv.decode_lease)
 
@@ -130,7 +130,7 @@
         """Extend a lease by its time to live.
 
         Raises:
-            LeaseExpiredError: the lease has ended.
+            LeaseExpiredError: the lease has expired.
         """
         status, _ = self._call("POST", f"/leases/{lease}/renew", {}, timeout)
         if status == 404:
@@ -139,7 +139,7 @@
             raise StoreError(f"renewal: {status}", refused=False)
 
     def revoke_lease(self, lease: int) -> bool:
-        """End a lease; return whether it has certainly ended."""
+        """Revoke a lease; return whether the lease has certainly ended."""
         try:
             status, _ = self._call("DELETE", f"/leases/{lease}", None, 1.0)
         except StoreError:
@@ -147,10 +147,10 @@
         return status in (200, 204, 404)
 
     def watch(self, prefix: str, after: int, hold_s: float) -> kv.ChangeFeed | None:
-        """Return changes under a prefix since revision ``after``.
+        """Return the changes under a prefix since revision ``after``.
 
-        The store holds the request up to ``hold_s`` seconds until there is a change.
-        None if its history no longer goes back that far.
+        The store delays the response for up to ``hold_s`` seconds until there is a change.
+        None if the store's history no longer reaches back to revision ``after``.
         """
         path = kv.watch_path(prefix, after, hold_s)
         status, body = self._call("GET", path, None, hold_s + WATCH_TIMEOUT_MARGIN_S)
--- a/appleshift/storage/keys.py
+++ b/appleshift/storage/keys.py
@@ -3,14 +3,14 @@
 Layout::
 
     log/<n>               a batch of records
-    snap/<generation>/<n> a page of records that rebuild the live state
+    snap/<generation>/<n> a snapshot page: records that rebuild the live state
     final/<n>             a page of the final states of ended jobs, written once
     audit/<n>             a page of the audit of counted resources, written once
-    meta                  the snapshot in force and where the log goes on
+    meta                  the log header: current snapshot and first log entry after it
 
-Every shard has a key range of its own. That of shard 0 has no prefix, so that a
-deployment with a single shard uses the same keys as versions without shards.
-Numbers are zero-padded: the order of the keys is the order of the numbers.
+Each shard has a separate key range. The keys of shard 0 have no prefix, so a deployment
+with a single shard uses the same keys as versions without shards. Numbers are
+zero-padded, so keys sort in the order of their numbers.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def log_entry_number(key: str, prefix: str = "") -> int:
-    """Return the number of the log entry under a key; the inverse of ``log_key``."""
+    """Return the number in the key of a log entry; the inverse of ``log_key``."""
     return int(key[len(prefix + LOG_PREFIX) :])
 
 
@@ -49,7 +49,7 @@
 
 
 def snapshot_generations(keys: list[str], prefix: str = "") -> list[int]:
-    """Return the snapshot generation of each key that is a snapshot page's."""
+    """Return the generations of those keys that belong to snapshot pages."""
     pages = prefix + SNAPSHOT_PREFIX
     start, end = len(pages), len(pages) + _GENERATION_DIGITS
     return [int(key[start:end]) for key in keys if key.startswith(pages)]
--- a/appleshift/storage/recovery.py
+++ b/appleshift/storage/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: what a new leader reads from the key-value store before it writes anything."""
+"""Recovery: a new leader rebuilds a shard's state from the key-value store before writing."""
 
 from __future__ import annotations
 
@@ -22,30 +22,33 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """Where the log of a shard goes on."""
+    """The position from which a new leader continues a shard's write-ahead log."""
 
     header: LogHeader
     header_version: int
     """Version of the header's key; 0: it does not exist."""
     next_entry: int
-    """Number of the log entry that is written next."""
+    """Number of the next log entry to write."""
     log_bytes: int
-    """Size of the log that no snapshot covers."""
+    """Size in bytes of the log entries that no snapshot covers."""
     orphaned_keys: list[str]
-    """Keys that an interrupted snapshot or clean-up left behind."""
+    """Keys left over from an interrupted snapshot or removal."""
 
 
 def recover(store: KeyValueStore, replayer: LogReplayer, prefix: str = "") -> RecoveredLog:
     """Replay the snapshot and the log of a shard's key range.
 
     Raises:
-        StoreError: the store gave no usable answer; the replayer is then half filled.
+        StoreError: the store returned no usable response; the replayer may then be
+            partially filled.
     """
     header, header_version = _read_header(store, replayer, prefix)
     _replay_final_states(store, replayer, header, prefix)
     orphaned_keys = _replay_snapshot(store, replayer, header, prefix)
-    next_entry, log_bytes, old_entries = _replay_log(store, replayer, header, prefix)
-    return RecoveredLog(header, header_version, next_entry, log_bytes, orphaned_keys + old_entries)
+    next_entry, log_bytes, obsolete_keys = _replay_log(store, replayer, header, prefix)
+    return RecoveredLog(
+        header, header_version, next_entry, log_bytes, orphaned_keys + obsolete_keys
+    )
 
 
 def _read_header(store: KeyValueStore, replayer: LogReplayer, prefix: str) -> tuple[LogHeader, int]:
@@ -62,7 +65,7 @@
 ) -> None:
     if not header.final_state_pages:
         return
-    # Pages from here on belong to a snapshot that never came into force.
+    # Pages from this key on belong to an interrupted snapshot that never took effect.
     end = final_key(header.final_state_pages, prefix)
     for row in store.read_all(prefix + FINAL_STATES_PREFIX):
         if row.key < end:
@@ -72,11 +75,14 @@
 def _replay_snapshot(
     store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
 ) -> list[str]:
-    """Replay the snapshot in force; return the keys of pages of other snapshots."""
+    """Replay the current snapshot; return the keys of pages of other snapshots."""
     orphaned_keys: list[str] = []
-    in_force = snapshot_prefix(header.generation, prefix)
+    current_prefix = snapshot_prefix(header.generation, prefix)
     for row in store.read_all(prefix + SNAPSHOT_PREFIX):
-        if row.key.startswith(in_force) and int(row.key[len(in_force) :]) < header.pages:
+        if (
+            row.key.startswith(current_prefix)
+            and int(row.key[len(current_prefix) :]) < header.pages
+        ):
             replayer.apply(row.value["records"])
         else:
             orphaned_keys.append(row.key)
@@ -86,7 +92,10 @@
 def _replay_log(
     store: KeyValueStore, replayer: LogReplayer, header: LogHeader, prefix: str
 ) -> tuple[int, int, list[str]]:
-    """Replay the log after the snapshot; return next entry, bytes and obsolete keys."""
+    """Replay the log after the snapshot.
+
+    Return the number of the next log entry, the log size in bytes and the obsolete keys.
+    """
     obsolete_keys: list[str] = []
     first_key = log_key(header.first_entry, prefix)
     next_entry, log_bytes = header.first_entry, 0
--- a/appleshift/storage/snapshots.py
+++ b/appleshift/storage/snapshots.py
@@ -1,7 +1,7 @@
-"""Layout of a snapshot: its pages, their keys, and the header that puts it into force.
+"""Layout of a snapshot: its pages, their keys, and the log header that activates it.
 
-A snapshot counts only once the header names it: the pages of an interrupted one are
-orphaned keys that the next leader removes.
+A snapshot takes effect only once the header refers to it. The pages of an interrupted
+snapshot are orphaned keys, which the next leader removes.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from appleshift.storage.records import Record
 
 VALUE_OVERHEAD_BYTES = 200
-"""Bytes of a value that are kept free for what surrounds its records."""
+"""Bytes of a value reserved for everything except its records."""
 SEPARATOR_BYTES = 1
-"""Bytes between two records of a value."""
+"""Bytes that separate two records in a value."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,12 +31,12 @@
     audit_entries: list[list[Any]]
     """Entries of the audit of counted resources since the last snapshot."""
     max_audit_pages: int
-    """How many audit pages to keep."""
+    """Number of audit pages to keep."""
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPlan:
-    """Pages to write in order, and the header that puts them into force."""
+    """Pages to write in this order, and the header to write last, which activates them."""
 
     pages: list[tuple[str, list[Record]]]
     """Key and records of each page."""
@@ -44,12 +44,12 @@
 
 
 def record_size(record: Record) -> int:
-    """Return the bytes that a record takes in a value."""
+    """Return the number of bytes that a record occupies in a value."""
     return json_size(record) + SEPARATOR_BYTES
 
 
 def paginate(records: list[Record], value_bytes: int) -> list[list[Record]]:
-    """Divide records into pages that fit a value each."""
+    """Divide records into pages, each of which fits in a value of the store."""
     pages: list[list[Record]] = []
     size = value_bytes
     for record in records:
@@ -70,9 +70,9 @@
     prefix: str,
     value_bytes: int,
 ) -> SnapshotPlan:
-    """Lay out a snapshot that replaces ``current``.
+    """Lay out the snapshot that replaces the one in the header ``current``.
 
-    Pages of final states and of the audit are added to the existing ones.
+    Pages of final states and of the audit are appended to the existing ones.
     """
     live = paginate(content.live, value_bytes)
     final_states = paginate(content.final_states, value_bytes)
@@ -105,7 +105,7 @@
 
 
 def superseded_keys(old: LogHeader, new: LogHeader, prefix: str) -> list[str]:
-    """Return the keys that nobody needs once ``new`` is in force instead of ``old``."""
+    """Return the keys that are obsolete once the header ``new`` has replaced ``old``."""
     return (
         [log_key(number, prefix) for number in range(old.first_entry, new.first_entry)]
         + [snapshot_key(old.generation, page, prefix) for page in range(old.pages)]
--- a/appleshift/storage/token_bucket.py
+++ b/appleshift/storage/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket on a clock that the caller supplies."""
+"""A token bucket; the caller supplies the time."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A rate limit that allows bursts of one second's worth."""
+    """A rate limit that allows bursts of up to one second's tokens."""
 
     rate: float
-    """Tokens per second; also the capacity."""
+    """Tokens added per second; also the capacity."""
     level: float = 0.0
     """Tokens available at ``refilled_at``."""
     refilled_at: float = 0.0
     """Time of the last refill, in seconds."""
 
     def refill(self, now: float) -> float:
-        """Add the tokens due since the last refill and return the level."""
+        """Add the tokens accrued since the last refill; return the tokens available."""
         if now > self.refilled_at:
             self.level = min(self.rate, self.level + (now - self.refilled_at) * self.rate)
             self.refilled_at = now
