--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -1,25 +1,25 @@
-"""Records of the write-ahead log: how changes are encoded and replayed.
+"""Records of the write-ahead log: encoding of changes, and replay.
 
-A record is a list that starts with its kind, a single letter, since every byte
-counts against the limits of the key-value store. Tasks are encoded as ranges, flat
-lists of [first, last] pairs; jobs by their index. Fields in brackets may be missing::
+A record is a list that starts with its kind. A kind is a single letter, since each byte
+counts against the limits of the key-value store. Tasks are encoded as ranges, in flat
+lists of [first, last] pairs, and jobs by their index. Fields in brackets are optional::
 
     J job, submitted, submission [, 1: a partition]   a job was accepted
     A job, attempt, machine, agent epoch, tasks [, time] tasks may be on a machine
-    F job, tasks [, time]                             tasks are on no machine any more
+    F job, tasks [, time]                             tasks are certainly on no machine
     D job, tasks [, time]                             tasks succeeded
     P job, [[shard, first task, count], ...]          other shards run these tasks
     K job                                             cancellation was requested
     C job                                             the job is cancelled
-    E job, final state                                the job is over and forgotten
-    W job id, final state                             an id that is no job here
+    E job, final state                                the job has ended and is removed
+    W job id, final state                             final state of an id without a job here
     N job                                             the next job index
     T machine type                                    a type with its price
     G groups                                          groups of spot machines
     M name, address, type, zone, spot [, transfer count, fencing token]
-    X name                                            the machine is gone
-    V fields of HandedOffMachine                      it was handed off to a shard
-    S time, name, definition or None                  a counted resource
+    X name                                            the machine is deleted
+    V fields of HandedOffMachine                      a machine was handed off to a shard
+    S time, name, definition or None                  a counted resource; None: no longer
 """
 
 from __future__ import annotations
@@ -59,14 +59,15 @@
 
 _SPEC_FIELDS = Submission.__struct_fields__
 _MAX_TASKS_PER_RECORD = 100
-"""Ranges of this many tasks fit the smallest value even if no two are adjacent."""
+"""The ranges of this many tasks fit in the smallest value even if no two are adjacent."""
 
 
 def job_record(job: Job) -> Record:
-    """Record an accepted job, or a partition of another shard's job."""
+    """Return the record of an accepted job, or of a partition of another shard's job."""
     values = [getattr(job.spec, name) for name in _SPEC_FIELDS]
     if job.spec.counted_resources is None:
-        # Versions without counted resources read the record, too: they know no such field.
+        # Versions without counted resources must be able to read the record; they lack
+        # this field, which is the last.
         values.pop()
     record = [JOB, job.index, round(job.submitted, 3), values]
     return [*record, 1] if job.key != job.spec.id else record
@@ -80,7 +81,7 @@
     tasks: list[int],
     wall: float | None = None,
 ) -> list[Record]:
-    """Record that tasks may be on a machine from now on; ``wall``: seconds since 1970."""
+    """Return records that tasks may be on a machine; ``wall``: seconds since 1970."""
     return [
         [ASSIGN, job.index, attempt, machine.name, agent_epoch, to_ranges(batch), *_time(job, wall)]
         for batch in _batches(tasks)
@@ -88,64 +89,64 @@
 
 
 def free_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    """Record that tasks are certainly on no machine any more."""
+    """Return records that tasks are certainly on no machine any more."""
     return [[FREE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
 def done_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    """Record that tasks succeeded."""
+    """Return records that tasks succeeded."""
     return [[DONE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
 def counted_resource_record(name: str, definition: dict[str, Any] | None, wall: float) -> Record:
-    """Record a counted resource as it is from now on; None: no longer counted."""
+    """Return the record of a counted resource's new definition; None: no longer counted."""
     return [COUNTED_RESOURCE, round(wall, 3), name, definition]
 
 
 def _time(job: Job, wall: float | None) -> tuple[float, ...]:
-    """When counted resources changed hands; jobs that hold none record no time."""
+    """Return the time when counted resources were assigned or released, if the job has any."""
     return () if wall is None or not job.counted_needs else (round(wall, 3),)
 
 
 def cancel_record(job: Job) -> Record:
-    """Record that a job is cancelled."""
+    """Return the record that a job is cancelled."""
     return [CANCEL, job.index]
 
 
 def partitions_record(job: Job) -> Record:
-    """Record which tasks of the job other shards run."""
+    """Return the record of the tasks of a job that other shards run."""
     return [PARTITIONS, job.index, [[*partition] for partition in job.partitions]]
 
 
 def cancel_requested_record(job: Job) -> Record:
-    """Record that the user cancelled a job of which other shards run tasks.
+    """Return the record that the user cancelled a job of which other shards run tasks.
 
-    Nothing of it starts any more, and the other shards are asked to end what they
-    have. The job is cancelled once they did.
+    No further task of the job starts, and the other shards are asked to end their tasks.
+    The job is cancelled once all of them have ended.
     """
     return [CANCEL_REQUESTED, job.index]
 
 
 def final_state_record(job_id: str, final: int) -> Record:
-    """Record the final state of an id that is no job in this shard.
+    """Return the record of the final state of a job id without a job in this shard.
 
-    It belongs to another shard, or ended before it was submitted here.
+    The job belongs to another shard, or it ended before it was submitted here.
     """
     return [FINAL_STATE, job_id, final]
 
 
 def end_record(job: Job) -> Record:
-    """Record that a job is over and none of its tasks is on a machine."""
+    """Return the record that a job has ended and none of its tasks is on a machine."""
     return [END, job.index, job.status]
 
 
 def machine_type_records(types: list[MachineType]) -> list[Record]:
-    """Record machine types with their prices."""
+    """Return records of machine types with their prices."""
     return [[MACHINE_TYPE, msgspec.to_builtins(machine_type)] for machine_type in types]
 
 
 def machine_record(cluster: ClusterState, machine: Machine) -> Record:
-    """Record a machine whose address is known."""
+    """Return the record of a machine whose address is known."""
     type_name, zone = cluster.type_names.names[machine.type], cluster.zones.names[machine.zone]
     record = [MACHINE, machine.name, machine.addr, type_name, zone, machine.spot]
     return (
@@ -156,12 +157,12 @@
 
 
 def handed_off_record(handed_off: HandedOffMachine) -> Record:
-    """Record that a machine without any task was handed off to another shard."""
+    """Return the record that a machine without tasks was handed off to another shard."""
     return [HANDED_OFF, *astuple(handed_off)]
 
 
 def machine_deleted_record(machine: Machine) -> Record:
-    """Record that a machine is gone for good."""
+    """Return the record that a machine is deleted."""
     return [MACHINE_DELETED, machine.name]
 
 
@@ -174,10 +175,10 @@
 
 
 class RecordConsumer(Protocol):
-    """Follows durable records, for the audit of counted resources."""
+    """Receives each durable record, for the audit of counted resources."""
 
     def apply(self, record: Record) -> None:
-        """Follow one record; called in the order of the log."""
+        """Process one record; called in the order of the log."""
 
 
 class LogReplayer:
@@ -186,22 +187,22 @@
     def __init__(
         self, cluster: ClusterState, make_audit_log: Callable[[int], RecordConsumer] | None = None
     ) -> None:
-        """Fill ``cluster``.
+        """Create a replayer that applies records to ``cluster``.
 
-        ``make_audit_log`` is called once counted resources turn up in the log, with the
-        number of entries that pages of the audit hold.
+        ``make_audit_log`` is called at the first record of a counted resource, with the
+        number of audit entries that were already written to pages.
         """
         self.cluster = cluster
         self.make_audit_log = make_audit_log
         self.audit_log: RecordConsumer | None = None
         self.audit_entries_written = 0
-        # Definitions of the counted resources in force, by name, as they were recorded.
+        # Current definitions of the counted resources, by name, as recorded.
         self.counted_resources: dict[str, Any] = {}
         self.spot_group_names: Any = None
         self.unsaved_final_states: list[tuple[str, int]] = []
-        # All submissions that the log still holds, those of ended jobs included.
+        # Time and specification of all submissions in the log, including those of ended jobs.
         self.submissions: list[tuple[float, Submission]] = []
-        # (job, task) -> (attempt, machine name, agent epoch): where a task may be.
+        # (job index, task) -> (attempt, machine name, agent epoch) where the task may be.
         self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
     def apply_final_states(self, records: list[Record]) -> None:
@@ -215,16 +216,16 @@
             self._apply(record)
 
     def _apply(self, record: Record) -> None:
-        """Apply one record; kinds of later versions and records of ended jobs are ignored."""
+        """Apply one record; ignore kinds of later versions and records of ended jobs."""
         if self.audit_log is not None:
             self.audit_log.apply(record)
         kind = record[0]
-        apply_to_cluster = _CLUSTER_RECORDS.get(kind)
+        apply_to_cluster = _CLUSTER_HANDLERS.get(kind)
         if apply_to_cluster is not None:
             apply_to_cluster(self, record)
             return
         job = self.cluster.jobs.get(record[1])
-        apply_to_job = _JOB_RECORDS.get(kind)
+        apply_to_job = _JOB_HANDLERS.get(kind)
         if job is not None and apply_to_job is not None:
             apply_to_job(self, job, record)
 
@@ -322,7 +323,7 @@
         self.cluster.remove_job(job)
 
 
-_CLUSTER_RECORDS: dict[str, Callable[[LogReplayer, Record], None]] = {
+_CLUSTER_HANDLERS: dict[str, Callable[[LogReplayer, Record], None]] = {
     JOB: LogReplayer._apply_submission,
     MACHINE_TYPE: LogReplayer._apply_machine_type,
     SPOT_GROUPS: LogReplayer._apply_spot_groups,
@@ -333,7 +334,7 @@
     NEXT_JOB_INDEX: LogReplayer._apply_next_job_index,
     FINAL_STATE: LogReplayer._apply_final_state,
 }
-_JOB_RECORDS: dict[str, Callable[[LogReplayer, Job, Record], None]] = {
+_JOB_HANDLERS: dict[str, Callable[[LogReplayer, Job, Record], None]] = {
     ASSIGN: LogReplayer._apply_assign,
     FREE: LogReplayer._apply_free,
     DONE: LogReplayer._apply_done,
@@ -342,18 +343,18 @@
     CANCEL: LogReplayer._apply_cancel,
     END: LogReplayer._apply_end,
 }
-"""Records whose second field is the index of a job that must still be live."""
+"""Handlers of records whose second field is a job index; ignored if the job has ended."""
 
 
 def live_records(
     cluster: ClusterState, groups: Any, counted_resources: list[Record] | None = None
 ) -> list[Record]:
-    """Return the records that rebuild the live state, for a snapshot."""
-    # Definitions of counted resources come first: jobs are read by them.
+    """Return the records of a snapshot, which rebuild the live state."""
+    # Definitions of counted resources come first, since the replay of jobs depends on them.
     records = (counted_resources or []) + machine_type_records(cluster.types)
     if groups is not None:
         records.append([SPOT_GROUPS, groups])
-    # Indices of ended jobs stay used: the log after the snapshot may name them.
+    # Indices of ended jobs are not reused: the log after the snapshot may refer to them.
     records.append([NEXT_JOB_INDEX, cluster.next_job_index])
     records += [
         machine_record(cluster, machine) for machine in cluster.machines.values() if machine.addr
@@ -378,7 +379,7 @@
 
 
 def _location_records(job: Job) -> list[Record]:
-    """Return where tasks may be, by attempt, machine and agent epoch."""
+    """Return records of the machines that a job's tasks may be on."""
     records: list[Record] = []
     tasks_by_location: dict[tuple[int, int, int], list[int]] = {}
     for task, run in job.runs.items():
@@ -387,7 +388,7 @@
     for (attempt, _, agent_epoch), tasks in tasks_by_location.items():
         records += assign_records(job, attempt, job.runs[tasks[0]].machine, agent_epoch, tasks)
     if job.last_attempt > max((attempt for attempt, _, _ in tasks_by_location), default=0):
-        # Numbers of finished attempts stay used, too: a number that names two attempts
-        # would name two holders of a counted resource.
+        # Numbers of finished attempts are not reused either: if two attempts had the same
+        # number, two holders of a counted resource would be indistinguishable.
         records.append([ASSIGN, job.index, job.last_attempt, "", 0, []])
     return records
--- a/appleshift/storage/write_ahead_log.py
+++ b/appleshift/storage/write_ahead_log.py
@@ -1,11 +1,11 @@
 """The write-ahead log of a shard in the key-value store.
 
-It does no input or output itself: the log says which transaction to send next, and its
-owner reports the commit. One transaction is in flight at a time, and the same one is
-sent again until its outcome is known, so the order of records is the order of their keys.
+The log performs no input or output: it provides the next transaction to send, and its
+owner reports the commit. One transaction is in flight at a time, and it is sent again
+until its outcome is known, so records are in the order of their keys.
 
-``keys`` holds the layout of the keys, ``snapshots`` that of a snapshot, and
-``maintenance`` what can wait: snapshot pages and the removal of obsolete keys.
+Module ``keys`` defines the layout of the keys, ``snapshots`` the layout of a snapshot, and
+``maintenance`` the deferrable writes: snapshot pages and the removal of obsolete keys.
 """
 
 from __future__ import annotations
@@ -30,62 +30,62 @@
 from appleshift.storage.token_bucket import TokenBucket
 
 MAX_TRANSACTION_BYTES = 60 * 1024
-"""Below the service's 64 KiB, to leave room for guards and framing."""
+"""Below the store's limit of 64 KiB, to leave room for guards and framing."""
 INITIAL_BURST_SHARE = 0.5
-"""Part of a second's writes that a new log may send at once."""
+"""Share of one second's writes that a new log may send at once."""
 
 
 @dataclass(slots=True)
 class Transaction:
-    """A transaction to send, and to send again until its outcome is known."""
+    """A transaction, to be sent again until its outcome is known."""
 
     guards: list[dict[str, Any]]
     changes: list[dict[str, Any]]
     probe_key: str
-    """The key whose presence, with ``mark`` in it, shows that it was applied."""
+    """Key whose value contains ``mark`` if the transaction was applied."""
     mark: str
-    """Unique to this transaction."""
+    """Unique identifier of this transaction."""
 
 
 @dataclass(slots=True)
 class _PendingRecord:
-    """A record that waits to be written; without a record, a callback that waits its turn."""
+    """A queued record; without a record, a callback that waits for all earlier records."""
 
     record: Record | None
     size: int
     on_durable: Callable[[], None] | None
     barrier: bool = False
-    """Nothing appended later may be in the same transaction."""
+    """Whether records appended later must not be in the same transaction."""
 
 
 @dataclass
 class WriteAheadLog:
-    """Records to be written, in order, and the snapshots that shorten the log."""
+    """The queue of records to write, in order, and the snapshots that shorten the log."""
 
     leader_key: str
     leader_version: int
-    """Version of the leader's key; every transaction is guarded by it."""
+    """Version of the leader's key; each transaction is guarded by this version."""
     term_id: str
-    """Unique to this leader's term; the marks of its transactions start with it."""
+    """Unique identifier of the term; the marks of this log's transactions start with it."""
     write_rps: float
-    """Writes per second that this log may make."""
+    """Maximum writes per second of this log."""
     value_bytes: int
-    """Largest value that the store takes."""
+    """Maximum size in bytes of a value in the store."""
     max_transaction_ops: int
-    """Most changes of one transaction."""
+    """Maximum number of changes in one transaction."""
     header: LogHeader
     header_version: int
     """Version of the header's key; 0: it does not exist."""
     next_entry: int
-    """Number of the log entry that is written next."""
+    """Number of the next log entry to write."""
     now: float = 0.0
     """Time of creation, in seconds."""
     prefix: str = ""
     """Prefix of all keys of the shard."""
     extra_guards: tuple[tuple[str, int], ...] = ()
-    """Further keys, and their versions, that must not have changed."""
+    """Further keys and their versions that guard each transaction."""
     log_bytes: int = 0
-    """Size of the log that no snapshot covers."""
+    """Size in bytes of the log entries that no snapshot covers."""
     snapshotting: bool = False
     """Whether a snapshot is being written."""
     on_record_durable: Callable[[Record], None] | None = None
@@ -98,28 +98,28 @@
     _transaction: Transaction | None = field(init=False, default=None)
     _serial: int = field(init=False, default=0)
     _queued_bytes: int = field(init=False, default=0)
-    _max_swept_generation: int = field(init=False, default=0)
-    """The newest generation of a snapshot of which pages are being removed."""
+    _max_removed_generation: int = field(init=False, default=0)
+    """Newest snapshot generation whose pages were queued for removal in this term."""
 
     def __post_init__(self) -> None:
-        """Derive the guards and the budgets."""
+        """Create the guards, the rate limit and the maintenance queue."""
         self._header_key = self.prefix + HEADER_KEY
         guarded = ((self.leader_key, self.leader_version), *self.extra_guards)
         self._guards = [kv.guard(key, version) for key, version in guarded]
-        # The rate limit belongs to the service: the previous leader may have spent
-        # this second's burst already.
+        # The store enforces the rate limit across leaders: the previous leader may already
+        # have used this second's burst.
         self.bucket = TokenBucket(self.write_rps, self.write_rps * INITIAL_BURST_SHARE, self.now)
         self._maintenance = MaintenanceQueue(self.write_rps, self.now)
 
-    # -- records to be written ---------------------------------------------
+    # -- records to write --------------------------------------------------
 
     def append(self, record: Record | None, on_durable: Callable[[], None] | None = None) -> None:
-        """Queue a record; ``on_durable`` runs once it is durable.
+        """Queue a record; ``on_durable`` runs once the record is durable.
 
-        Without a record, ``on_durable`` runs once everything before it is durable.
+        Without a record, ``on_durable`` runs once all earlier records are durable.
 
         Raises:
-            ValueError: the record does not fit a value of the store.
+            ValueError: the record does not fit in a value of the store.
         """
         if record is None and not self._queue and self._in_flight is None:
             if on_durable is not None:
@@ -132,23 +132,23 @@
         self._queued_bytes += size
 
     def fits(self, record: Record) -> bool:
-        """Return whether a record fits a value of the store."""
+        """Return whether a record fits in a value of the store."""
         return record_size(record) <= self.value_bytes - VALUE_OVERHEAD_BYTES
 
     def backlog(self) -> int:
-        """Return the number of records that wait or are in flight."""
+        """Return the number of queued and in-flight records."""
         return len(self._queue) + len(self._in_flight or ())
 
     def lag_s(self) -> float:
-        """Return how many seconds writing the queue takes at the store's rate."""
+        """Return the seconds that writing the queued records takes at the log's write rate."""
         return self._queued_bytes / (self.value_bytes * self.write_rps)
 
     def is_idle(self) -> bool:
-        """Return whether no record waits and no transaction is in flight."""
+        """Return whether no record is queued and no transaction is in flight."""
         return not self._queue and self._transaction is None
 
     def set_rate(self, write_rps: float) -> None:
-        """Change this log's part of the store's write rate."""
+        """Set this log's share of the store's write rate."""
         self.write_rps = self.bucket.rate = write_rps
 
     def next_transaction(self, now: float) -> Transaction | None:
@@ -156,7 +156,7 @@
         if self._transaction is not None:
             return None
         level = self.bucket.refill(now)
-        self._run_leading_callbacks()
+        self._run_head_callbacks()
         max_changes = self._maintenance.allowed_changes(
             now, self.write_rps, level, bool(self._queue)
         )
@@ -168,8 +168,8 @@
             return self._maintenance_transaction(now, self.max_transaction_ops)
         return None
 
-    def _run_leading_callbacks(self) -> None:
-        """Run callbacks without a record that nothing precedes any more."""
+    def _run_head_callbacks(self) -> None:
+        """Run the callbacks at the head of the queue that have no record."""
         while self._queue and self._queue[0].record is None:
             on_durable = self._queue.popleft().on_durable
             if on_durable is not None:
@@ -192,8 +192,8 @@
         self._in_flight = in_flight
         self.bucket.level -= len(changes)
         self.log_bytes += total
-        # The first key must be new: a late copy of this transaction must fail once
-        # the transaction was applied.
+        # Guard that the first key does not exist, so that a late copy of this transaction
+        # fails once the transaction was applied.
         guards = [*self._guards, kv.guard(first, 0)]
         self._transaction = Transaction(guards, changes, first, mark)
         return self._transaction
@@ -201,13 +201,13 @@
     def _may_add_entry(
         self, in_flight: list[_PendingRecord], count: int, max_changes: int, total: int
     ) -> bool:
-        """Whether a transaction of ``count`` entries and ``total`` bytes takes another."""
+        """Return whether a transaction of ``count`` entries, ``total`` bytes, can take another."""
         closed = bool(in_flight) and in_flight[-1].barrier
         fits = total + self.value_bytes <= MAX_TRANSACTION_BYTES
         return not closed and bool(self._queue) and count < max_changes and fits
 
     def _fill_entry(self, in_flight: list[_PendingRecord]) -> tuple[list[Record], int]:
-        """Move records for one entry from the queue to ``in_flight``; a barrier ends it."""
+        """Move the records of one log entry from the queue to ``in_flight``, up to a barrier."""
         records: list[Record] = []
         size = VALUE_OVERHEAD_BYTES
         while self._queue and size + self._queue[0].size <= self.value_bytes:
@@ -227,7 +227,7 @@
         self.bucket.level -= len(write.changes)
         guards = [*self._guards]
         if write.probe_key == self._header_key:
-            # A late copy must not bring an older snapshot back into force.
+            # Guard that a late copy does not reactivate an older snapshot.
             guards.append(kv.guard(self._header_key, self.header_version))
         self._transaction = Transaction(guards, write.changes, write.probe_key, write.mark)
         return self._transaction
@@ -239,7 +239,7 @@
     # -- commits -------------------------------------------------------------
 
     def transaction_committed(self, revision: int) -> None:
-        """Take note that the transaction in flight is durable since ``revision``."""
+        """Record that the transaction in flight was committed at ``revision``."""
         transaction, records = self._transaction, self._in_flight
         write = self._maintenance_in_flight
         self._transaction = self._in_flight = self._maintenance_in_flight = None
@@ -247,14 +247,14 @@
             return
         if records is not None:
             self.next_entry += len(transaction.changes)
-            self._report_durable(records)
+            self._notify_durable(records)
         if write is not None:
             if write.probe_key == self._header_key:
                 self.header_version = revision
             if write.on_durable is not None:
                 write.on_durable()
 
-    def _report_durable(self, records: list[_PendingRecord]) -> None:
+    def _notify_durable(self, records: list[_PendingRecord]) -> None:
         for pending in records:
             if self.on_record_durable is not None and pending.record is not None:
                 self.on_record_durable(pending.record)
@@ -270,14 +270,14 @@
         audit: Callable[[], list[list[Any]]] | None = None,
         max_audit_pages: int = 0,
     ) -> None:
-        """Write the state as of now; records may be appended meanwhile.
-
-        ``records`` describe the state with every record appended so far, so the
-        snapshot must come into force after those are durable, and the log that
-        follows it must start with the first record appended after now: one that
-        shared a key with older ones would be in neither. ``audit`` returns the
-        audit entries of counted resources up to here, and is therefore called
-        only once all those records are durable; ``max_audit_pages`` of it are kept.
+        """Start a snapshot of the current state; records may be appended meanwhile.
+
+        ``records`` describe the state after all records appended so far. The snapshot
+        must therefore take effect only after those are durable, and the log after the
+        snapshot must start with the first record appended from now on: a record that
+        shared a key with earlier ones would be in neither. ``audit`` returns the
+        audit entries of counted resources up to this point, and is therefore called
+        only once all those records are durable; ``max_audit_pages`` pages are kept.
         """
         self.snapshotting = True
 
@@ -291,13 +291,13 @@
             write()
 
     def _write_snapshot(self, content: SnapshotContent) -> None:
-        """Queue the pages of a snapshot, and last the header that puts it into force."""
+        """Queue the pages of a snapshot and then the header that activates it."""
         old, covered_bytes = self.header, self.log_bytes
-        # A late copy of a DELETE must not remove a snapshot page that a later generation
-        # wrote under the same key, so no key removed in this term is written again. The
-        # pages of an interrupted snapshot once had the keys of the next one's, and a
-        # removal that was carried out seconds later took a page of the snapshot in force.
-        generation = max(old.generation, self._max_swept_generation) + 1
+        # A late copy of a removal must not remove a page of a later snapshot, so no key
+        # removed in this term is written again. When the next snapshot reused the keys of
+        # an interrupted one, a removal applied seconds late deleted a page of the current
+        # snapshot.
+        generation = max(old.generation, self._max_removed_generation) + 1
         plan = plan_snapshot(
             old, content, generation, self.next_entry, self.prefix, self.value_bytes
         )
@@ -317,14 +317,14 @@
         )
 
     def _install_snapshot(self, old: LogHeader, new: LogHeader, covered_bytes: int) -> None:
-        """Put a snapshot that covers ``covered_bytes`` of the log into force."""
+        """Activate a snapshot that covers ``covered_bytes`` of the log."""
         self.header = new
         self.snapshotting = False
         self.log_bytes -= covered_bytes
         self.remove_keys(superseded_keys(old, new, self.prefix))
 
     def remove_keys(self, keys: list[str]) -> None:
-        """Queue the removal of keys that neither a snapshot nor the log needs."""
+        """Queue the removal of keys that neither the current snapshot nor the log uses."""
         generations = snapshot_generations(keys, self.prefix)
-        self._max_swept_generation = max([self._max_swept_generation, *generations])
+        self._max_removed_generation = max([self._max_removed_generation, *generations])
         self._maintenance.remove_keys(keys, self.max_transaction_ops)
