--- a/appleshift/leader_election/candidacy.py
+++ b/appleshift/leader_election/candidacy.py
@@ -63,7 +63,7 @@
         self._attempt_number = 0
         self._unresolved_lease_id: int | None = None
 
-    def resolve(self) -> None:
+    def revoke_unresolved_lease(self) -> None:
         """End the lease of an attempt that got no answer: until then it may yet be applied."""
         if self._unresolved_lease_id is None:
             return
@@ -71,12 +71,12 @@
             self._unresolved_lease_id = None
             self._lease.end_candidacy(resolved=True)
 
-    def stand(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
+    def attempt_election(self, extra_guards: tuple[tuple[str, int], ...]) -> bool:
         """Try to be elected; return whether there is a leader now, whoever it is.
 
         Raises StoreError if the key-value store gives no usable answer.
         """
-        if self._lease.candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
+        if self._lease.is_candidacy_unresolved() or not self._lease.begin_candidacy(self._now()):
             return False
         attempt = _Attempt()
         try:
@@ -117,7 +117,7 @@
         token = 1 if item is None else int(item.value["token"]) + 1
         token = max(token, self._lease.highest_seen_token + 1)
         self._attempt_number += 1
-        key, node_name = self._dependencies.key, self._dependencies.node_name
+        key, node_name = self._dependencies.leader_key, self._dependencies.node_name
         term_id = f"{self._dependencies.term_id_prefix}.{self._attempt_number}"
         return _Proposal(
             token,
--- a/appleshift/scheduler/term_recovery.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -1,17 +1,18 @@
-"""Sets up a new term from what an earlier leader left in the write-ahead log."""
+"""Restores the cluster state of a new term from the records of earlier leaders."""
 
 from __future__ import annotations
 
-from appleshift.scheduler.interfaces import TermScheduler
+from appleshift.scheduler.interfaces import FullSchedulerView
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.states import CANCELLED, UP
 from appleshift.storage.records import LogReplayer
 
 
-def restore_term(scheduler: TermScheduler, replayer: LogReplayer, wall_time: float) -> None:
-    """Take over the recovered state; ``wall_time`` is now, in seconds since the epoch.
+def restore_state(scheduler: FullSchedulerView, replayer: LogReplayer, wall_time: float) -> None:
+    """Initialize a new term's scheduler with the recovered state.
 
-    Recorded assignments stay where they are until there is proof that they ended.
+    ``wall_time`` is the current time in seconds since the Unix epoch. Recorded task
+    assignments remain valid until there is proof that the tasks ended.
     """
     cluster = scheduler.cluster
     counted = scheduler.counted_resources
@@ -21,7 +22,7 @@
     if counted is not None:
         counted.end_recovery()
     for submitted, spec in sorted(replayer.submissions, key=lambda entry: entry[0]):
-        # Arrivals under earlier leaders still tell how much work is to be expected.
+        # Submissions of earlier terms are part of the arrival history for capacity planning.
         scheduler.fleet.job_arrived(spec, scheduler.now - max(0.0, wall_time - submitted))
     _restore_machines(scheduler)
     for job in list(cluster.jobs.values()):
@@ -37,7 +38,7 @@
         if job is None or job.done[task]:
             continue
         if machine is None:
-            # The machine's deletion was recorded: the task ended with it.
+            # The deletion of the machine was recorded, and the task ended with it.
             continue
         machine.agent_epoch = max(machine.agent_epoch, agent_epoch)
         run = cluster.assign(job, task, attempt, machine, agent_epoch)
@@ -45,7 +46,7 @@
         run.ordered_this_term = False
 
 
-def _restore_machines(scheduler: TermScheduler) -> None:
+def _restore_machines(scheduler: FullSchedulerView) -> None:
     for machine in scheduler.cluster.machines.values():
         machine.status = UP
         # The previous leader may have renewed the lease until this term's election.
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -22,14 +22,14 @@
 from appleshift.leader_election.leader_term import LeaderTerm
 from appleshift.leader_election.log_committer import LogCommitter
 from appleshift.node_context import NodeContext
-from appleshift.objectives.achieved import AchievedObjectives
-from appleshift.placement.counted_resources import CountedResources
+from appleshift.objectives.achieved_objectives import AchievedObjectives
+from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol import users
 from appleshift.protocol.workers import HeartbeatHeader
 from appleshift.scheduler.scheduler import Scheduler
 from appleshift.shard_event_handlers import handle_request, handle_term_event
 from appleshift.storage.key_value_store import CompareFailedError
-from appleshift.term_recovery import recover_term, start_scheduler
+from appleshift.term_recovery import create_scheduler, recover_term
 
 log = logging.getLogger(__name__)
 
@@ -65,8 +65,8 @@
                 process_id=context.process_id,
                 shard=shard,
             ),
-            on_won=lambda term: context.post(events.ElectionWon(term)),
-            on_lost=lambda: context.post(events.LeadershipLost(shard)),
+            on_election_won=lambda term: context.post(events.ElectionWon(term)),
+            on_leadership_lost=lambda: context.post(events.LeadershipLost(shard)),
             conditions=CandidacyConditions(
                 extra_guards,
                 # The leader assigns the further shards to nodes. The node sets the delay
@@ -102,7 +102,7 @@
         """Handle an event that is for this shard, or for all."""
         match event:
             case events.HandOverRequested():
-                self.hand_over()
+                self.start_hand_over()
             case events.ApiRequest():
                 self._handle_request(event)
             case events.ElectionWon():
@@ -135,7 +135,7 @@
 
     # -- rounds of the scheduler ----------------------------------------------------
 
-    def is_busy(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Return whether the next round has work that need not wait for an event."""
         return self.scheduler is not None and (
             self.scheduler.placement_needed or self.scheduler.write_ahead_log.backlog() > 0
@@ -154,7 +154,7 @@
             transaction = scheduler.write_ahead_log.next_transaction(now)
             if transaction is not None:
                 assert self.term is not None, "a scheduler without a term"
-                self.committer.send(transaction, self.term)
+                self.committer.enqueue(transaction, self.term)
         if scheduler.counted_resources is not None and self.lease.may_answer(now):
             self._call_license_servers(scheduler.counted_resources, now)
         for action in scheduler.take_actions():
@@ -165,7 +165,7 @@
             self._draining_since = None
             self.election.hand_over()
 
-    def hand_over(self) -> None:
+    def start_hand_over(self) -> None:
         """Begin to leave the shard: accepted requests become durable, no more are accepted."""
         if self.scheduler is not None and not self.scheduler.draining:
             log.info("handing over shard=%d", self.shard)
@@ -179,17 +179,17 @@
     def _call_license_servers(self, resources: CountedResources, now: float) -> None:
         context = self.context
         for request in resources.reservation_requests(now):
-            if context.license_servers is None:
+            if context.license_server_calls is None:
                 # Loaded only where a licence server is to be asked.
                 from appleshift.counted_resources.license_calls import LicenseServerCalls
 
-                context.license_servers = LicenseServerCalls(
+                context.license_server_calls = LicenseServerCalls(
                     context.post,
                     context.connect,
                     context.runtime,
                     lambda: self.lease.may_answer(context.runtime.now()),
                 )
-            context.license_servers.send(request, self.term)
+            context.license_server_calls.send(request, self.term)
 
     def _execute(self, action: Action) -> None:
         context, term = self.context, self.term
@@ -197,13 +197,13 @@
             case Reply():
                 action.reply_to.put((action.status, action.body, action.retry_after))
             case SendCommands():
-                context.workers.send_commands(action, term)
+                context.worker_calls.send_commands(action, term)
             case ProbeMachine():
-                context.workers.probe(action, term)
+                context.worker_calls.probe(action, term)
             case RentMachines():
-                context.cloud.rent(action, term, self._entitlement_check(term))
+                context.cloud_calls.rent(action, term, self._entitlement_check(term))
             case DeleteMachines():
-                context.cloud.delete(action, term, self._entitlement_check(term))
+                context.cloud_calls.delete(action, term, self._entitlement_check(term))
             case CallShard() if context.shard_map_follower is not None:
                 context.shard_map_follower.call_shard(action, term)
 
@@ -222,7 +222,7 @@
             return
         now = self.context.runtime.now()
         self._draining_since = None
-        self.scheduler = start_scheduler(self.context, self.lease, term, recovered, now)
+        self.scheduler = create_scheduler(self.context, self.lease, term, recovered, now)
         self.achieved_objectives = AchievedObjectives(
             self.scheduler.cluster,
             self.scheduler.objectives,
@@ -232,7 +232,7 @@
         self.term = term
         if not self.shard:
             self.election.relayed_fraction = self.election.recent_relayed_fraction()
-            self.context.cloud.set_term(term)
+            self.context.cloud_calls.set_term(term)
         cluster = recovered.replayer.cluster
         log.info(
             "term started shard=%d token=%d jobs=%d machines=%d recovery_ms=%.0f",
@@ -258,7 +258,7 @@
         self._draining_since = None
         if not self.shard:
             self.election.relayed_fraction = 0.0
-            self.context.cloud.set_term(None)
+            self.context.cloud_calls.set_term(None)
         if scheduler is not None:
             scheduler.end_term()
             for action in scheduler.take_actions():
