--- a/appleshift/objectives/__init__.py
+++ b/appleshift/objectives/__init__.py
@@ -1,1 +1,1 @@
-"""Service-level objectives of job classes and teams, and what was achieved of them."""
+"""Service-level objectives of job classes, and how well classes and teams achieve them."""
--- a/appleshift/objectives/achieved_objectives.py
+++ b/appleshift/objectives/achieved_objectives.py
@@ -1,17 +1,17 @@
-"""Which part of its jobs each class and each team had served, by the service's own counts.
+"""Measures the ratio of jobs that met their objectives, by job class and by team.
 
-Operators give a day up if one class of jobs, or one team, is served less than half,
-however well the others fare. Placement cannot see that from the jobs that wait: the
-least work first keeps the number of late jobs down, and a team whose arrays are larger
-than those of all others waits for as long as the others have work. So the outcomes of
-the last minutes are counted here, a low ratio is logged, and teams that are far behind
-go first among jobs of the same priority.
+Operators consider a day failed if less than half of the jobs of any class or team meet
+their objectives, however well the others do. Placement cannot detect this from the
+pending jobs: it places the least work first, which minimizes the number of late jobs but
+makes a team with the largest arrays wait for as long as other teams have work. Therefore
+this module counts the outcomes of the last minutes and logs low ratios. Jobs of teams that
+are far behind are placed first within their priority.
 
-For its class, a job counts for each objective on its own; for its team it was served if
-it met the loosest objective of each kind.
+In the ratios of a class, each objective of a job is counted separately. In the ratio of a
+team, a job counts as served if it met the loosest objective of each kind.
 
-Jobs are polled, not followed: what starts and ends between two checks is dated to the
-second. Counts are of one leader term; a new leader starts with none.
+Jobs are polled once per ``CHECK_INTERVAL_S``, so start and end times are accurate to a
+second. The counts cover one leader term; a new leader starts without any.
 """
 
 from __future__ import annotations
@@ -33,35 +33,39 @@
 """Ratios below this are logged."""
 BEHIND_BELOW = 0.6
 CAUGHT_UP_ABOVE = 0.7
-"""A team is behind below the first, until it is above the second, and only while
-another team fares better by the difference and more: where all have too little,
-nobody is put first."""
+"""A team is behind from a ratio below ``BEHIND_BELOW`` until its ratio is above
+``CAUGHT_UP_ABOVE``. It must also be worse than the best team: by more than the difference of
+the two to become behind, and by at least half of it to stay so. No team gets precedence
+while all of them are short of capacity."""
 MIN_JOBS = 6
-"""A ratio of fewer jobs than these means nothing."""
-DEFAULT_START_S = 240.0
-"""Within this a job is to start if its class has no objective: the operators' own bound."""
+"""Ratios of fewer jobs are not meaningful and are ignored."""
+DEFAULT_START_LIMIT_S = 240.0
+"""Start objective of classes without one; operators expect every job to start within it."""
 
 
 @dataclass(slots=True)
 class _TrackedJob:
-    """A job that is not over, with its objectives that are not decided yet."""
+    """A job that has not ended, with its objectives that are neither met nor missed yet."""
 
     job: Job
     undecided: list[ObjectiveDeadline]
     missed: bool = False
-    """Whether it missed the loosest objective of a kind."""
-    judged: bool = False
-    """Whether it was counted for its team."""
+    """Whether the job missed the loosest objective of a kind."""
+    counted_for_team: bool = False
+    """Whether the job was counted in the ratio of its team."""
     started: bool = False
 
 
 class AchievedObjectives:
-    """The outcomes of one leader term of a shard; only the scheduler's thread may use it."""
+    """Outcomes of the objectives of a shard's jobs in one leader term.
+
+    Only the scheduler thread may use an instance.
+    """
 
     def __init__(
         self, cluster: ClusterState, objectives: Objectives, now: float, wall: float
     ) -> None:
-        """Begin a term at monotonic time ``now`` and wall time ``wall``, in seconds."""
+        """Start a leader term at monotonic time ``now`` and wall time ``wall``, in seconds."""
         self._cluster = cluster
         self._objectives = objectives
         self._next_check = now
@@ -73,7 +77,10 @@
     # -- outcomes of jobs --------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> None:
-        """Check all jobs, update which teams are behind, and log low ratios, where due."""
+        """If a check is due, check all jobs, update ``teams_behind`` and log low ratios.
+
+        ``now`` is monotonic time and ``wall`` wall time, both in seconds.
+        """
         if now < self._next_check:
             return
         self._next_check = now + CHECK_INTERVAL_S
@@ -83,26 +90,28 @@
             tracked = self._tracked.get(index)
             if tracked is None:
                 if not job.accepted or job.key != job.spec.id:
-                    # A partition of an array is judged with its whole, in another shard.
+                    # Partitions of an array are counted as a whole job, in another shard.
                     continue
                 tracked = self._tracked[index] = self._track(job)
             self._check_deadlines(tracked, now, wall)
         for index in [index for index in self._tracked if index not in jobs]:
             self._job_ended(self._tracked.pop(index), wall)
-        self._compare_teams()
+        self._update_teams_behind()
         if now >= self._next_log:
             self._next_log = now + LOG_INTERVAL_S
             self._log_low_ratios()
 
     def _track(self, job: Job) -> _TrackedJob:
-        tracked = _TrackedJob(job, self._objectives.deadlines(job, DEFAULT_START_S))
+        """Start tracking a job, without objectives that can no longer be measured."""
+        tracked = _TrackedJob(job, self._objectives.deadlines(job, DEFAULT_START_LIMIT_S))
         if job.submitted < self._term_start and job.last_attempt > 0:
-            # It started in an earlier term, at a time that this leader does not know.
+            # The job started in an earlier term; this leader does not have its start time.
             tracked.started = True
             tracked.undecided = [due for due in tracked.undecided if not due.concerns_start]
         return tracked
 
     def _check_deadlines(self, tracked: _TrackedJob, now: float, wall: float) -> None:
+        """Record the objectives that a job has met or missed since the last check."""
         job = tracked.job
         if not tracked.started and job.last_attempt > 0:
             since = [run.running_since for run in job.runs.values() if run.running_since]
@@ -112,51 +121,57 @@
         if job.status == FINISHED:
             self._job_finished(tracked, wall)
         for due in [due for due in tracked.undecided if due.due_at < wall]:
-            self._decide(tracked, due, False)
+            self._record_outcome(tracked, due, False)
         if not tracked.undecided:
-            self._judge(tracked)
+            self._count_for_team(tracked)
 
     def _job_ended(self, tracked: _TrackedJob, wall: float) -> None:
+        """Record the remaining objectives of a job that has ended."""
         if tracked.job.status == CANCELLED:
-            # Its user wants it no more: what was undecided is not judged.
+            # Open objectives of a cancelled job are not counted, nor is the job for its team,
+            # unless it is a service that has started.
             if not tracked.job.service or not tracked.started:
                 return
             tracked.undecided.clear()
         self._job_started(tracked, wall)
         self._job_finished(tracked, wall)
-        self._judge(tracked)
+        self._count_for_team(tracked)
 
     def _job_started(self, tracked: _TrackedJob, at: float) -> None:
-        """Decide all objectives of a job's start, at a wall time."""
+        """Record the outcome of the start objectives of a job that started at wall time ``at``."""
         for due in [due for due in tracked.undecided if due.concerns_start]:
-            self._decide(tracked, due, at <= due.due_at)
+            self._record_outcome(tracked, due, at <= due.due_at)
 
     def _job_finished(self, tracked: _TrackedJob, at: float) -> None:
-        """Decide all objectives of a job's end, at a wall time."""
+        """Record the outcome of the end objectives of a job that ended at wall time ``at``."""
         for due in [due for due in tracked.undecided if not due.concerns_start]:
-            self._decide(tracked, due, at <= due.due_at)
+            self._record_outcome(tracked, due, at <= due.due_at)
 
-    def _decide(self, tracked: _TrackedJob, due: ObjectiveDeadline, met: bool) -> None:
+    def _record_outcome(self, tracked: _TrackedJob, due: ObjectiveDeadline, met: bool) -> None:
+        """Record whether a job met an objective."""
         tracked.undecided.remove(due)
         tracked.missed = tracked.missed or (due.loosest and not met)
         self._ratios.record(("class", tracked.job.spec.job_class, due.label), met)
 
-    def _judge(self, tracked: _TrackedJob) -> None:
-        """Count a job for its team, once."""
-        if not tracked.judged:
-            tracked.judged = True
+    def _count_for_team(self, tracked: _TrackedJob) -> None:
+        """Count a job once in the ratio of its team."""
+        if not tracked.counted_for_team:
+            tracked.counted_for_team = True
             self._ratios.record(("team", tracked.job.spec.team), not tracked.missed)
 
-    # -- what follows from them --------------------------------------------------------
+    # -- ratios and teams that are behind ----------------------------------------------
 
     def ratios(self) -> dict[tuple[str, ...], tuple[float, int]]:
-        """By ("class", name, objective) and ("team", name): the ratio served, of how many."""
+        """Return the ratios of jobs that met objectives, each with its number of jobs.
+
+        The keys are ("class", class name, objective label) and ("team", team name).
+        """
         return {
             key: (ratio, total) for key, ratio, total in self._ratios.all() if total >= MIN_JOBS
         }
 
-    def _compare_teams(self) -> None:
-        """Update which teams are behind."""
+    def _update_teams_behind(self) -> None:
+        """Update and log which teams are behind."""
         ratios = {key[1]: ratio for key, (ratio, _) in self.ratios().items() if key[0] == "team"}
         best = max(ratios.values(), default=0.0)
         margin = CAUGHT_UP_ABOVE - BEHIND_BELOW
--- a/appleshift/objectives/objectives.py
+++ b/appleshift/objectives/objectives.py
@@ -1,4 +1,4 @@
-"""Service-level objectives of each job class, as placement uses them."""
+"""Service-level objectives of job classes, as used by placement."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 from appleshift.state.entities import Job
 
 PREEMPTION_DELAY_SHARE = 0.25
-"""The part of the accepted wait that may pass before other tasks are stopped."""
+"""Fraction of a job class's wait limit that passes before tasks are preempted."""
 MAX_PREEMPTION_DELAY_S = 2.0
 STOP_START_S = 1.5
-"""Stopping one task and starting another in its place may take this long."""
+"""Time that stopping a task and starting another in its place may take."""
 RESERVE_SHARE = 0.5
-"""The part of the accepted wait after which a gang begins to reserve machines."""
+"""Fraction of a job class's wait limit after which a gang reserves machines."""
 RESERVE_AFTER_S = 60.0
-"""When a gang begins to reserve machines if its class has no accepted wait."""
+"""Age at which a gang reserves machines if its class has no wait limit."""
 RESERVE_ALWAYS_AFTER_S = 140.0
-"""From then on a gang reserves machines whatever its class accepts: a large one is to start
-within 240 s, and the machines that it needs fall free one by one."""
+"""Age from which a gang reserves machines regardless of its class's wait limit: a large
+gang must start within 240 s, and the machines that it needs become free one by one."""
 
 
 class ObjectiveDeadline(NamedTuple):
-    """One objective of one job, with the time at which it is missed."""
+    """An objective of a job, with the time after which it is missed."""
 
     concerns_start: bool
-    """It is about the start of the job's work, else about its end."""
+    """Whether the objective limits the start of the job; otherwise it limits the end."""
     label: str
     due_at: float
     """Wall time in seconds."""
     loosest: bool
-    """No objective of the same kind allows this job more time."""
+    """Whether no other objective of the same kind allows the job more time."""
 
 
 class Objectives:
     """The objectives of a deployment, by job class."""
 
     def __init__(self, objectives: Sequence[Objective] = ()) -> None:
-        """Index the objectives of the settings by their class; others are not used here."""
+        """Index the objectives by job class; objectives without a job class are ignored."""
         self.teams_behind: set[int] = set()
-        """Teams, by index, too few of whose jobs met their objectives lately: among jobs of
-        one priority theirs go first. ``AchievedObjectives`` keeps it up to date."""
+        """Indexes of teams too few of whose jobs met their objectives recently. Their jobs
+        are placed first within a priority. ``AchievedObjectives`` updates the set."""
         self.recent_demand = RecentDemand()
-        """What work other than best-effort work needed lately."""
+        """CPUs that jobs other than best-effort jobs needed recently."""
         self._wait_limits: dict[str, list[float]] = {}
         self._finish_limits: dict[str, list[float]] = {}
         self._deadline_factors: dict[str, list[float]] = {}
@@ -63,7 +63,10 @@
             limits.setdefault(objective.job_class, []).append(limit)
 
     def is_best_effort(self, job: Job) -> bool:
-        """Whether work that ends has no objective, in a deployment that has some."""
+        """Return whether a job is best-effort, that is, has no deadline and no objective.
+
+        Services never are, nor is any job if no job class has an objective.
+        """
         name = job.spec.job_class
         limits = self._wait_limits, self._finish_limits, self._deadline_factors
         if job.service or job.spec.deadline_s is not None or not any(limits):
@@ -71,56 +74,64 @@
         return not any(name in by_class for by_class in limits)
 
     def max_wait_s(self, job_class: str) -> float | None:
-        """How soon tasks of a class are to start, in seconds; None: no objective says."""
+        """Return the strictest wait limit of a class for tasks to start, in seconds.
+
+        None if the class has no wait objective.
+        """
         return min(self._wait_limits.get(job_class, ()), default=None)
 
     def preemption_delay_s(self, job: Job) -> float:
-        """How long new work waits for room that comes by itself, in seconds.
+        """Return how long a job waits for free capacity before preempting tasks, in seconds.
 
-        Where many short tasks run, room for an urgent one falls free within
-        moments; stopping a task for it at once wastes the work of that task.
-        A replica that was lost is missed at once, and waits for nothing.
+        On a cluster with many short tasks, capacity becomes free within moments, and an
+        immediate preemption would waste the work of the stopped task. A replica that was
+        lost is needed at once, so it does not wait.
         """
         if job.service and job.last_attempt > 0:
             return 0.0
-        within = self.max_wait_s(job.spec.job_class)
-        if within is None:
+        limit_s = self.max_wait_s(job.spec.job_class)
+        if limit_s is None:
             return 0.0
         return max(
-            0.0, min(MAX_PREEMPTION_DELAY_S, PREEMPTION_DELAY_SHARE * within, within - STOP_START_S)
+            0.0,
+            min(MAX_PREEMPTION_DELAY_S, PREEMPTION_DELAY_SHARE * limit_s, limit_s - STOP_START_S),
         )
 
     def should_reserve(self, job: Job, age: float) -> bool:
-        """Whether a gang of an age in seconds that fits nowhere keeps machines that fall free.
+        """Return whether a gang that does not fit reserves machines that become free.
 
-        Each machine kept makes smaller gangs wait, so a gang reserves only once
-        it would otherwise start late. One that is late anyway lets those go
-        first that are not, until it has waited for too long.
+        ``age`` is the time in seconds since the gang was submitted. Each reserved machine
+        makes smaller gangs wait, so a gang reserves machines only when it would otherwise
+        start late. Once it is late, gangs that are still in time take precedence, until it
+        is older than ``RESERVE_ALWAYS_AFTER_S``.
         """
         if age >= RESERVE_ALWAYS_AFTER_S:
             return True
-        within = self.max_wait_s(job.spec.job_class)
-        if within is None:
+        limit_s = self.max_wait_s(job.spec.job_class)
+        if limit_s is None:
             return age >= RESERVE_AFTER_S
-        return RESERVE_SHARE * within <= age < within
+        return RESERVE_SHARE * limit_s <= age < limit_s
 
-    def deadlines(self, job: Job, start_s: float) -> list[ObjectiveDeadline]:
-        """All objectives of a job: of its start, of its end, and of its own deadline.
+    def deadlines(self, job: Job, default_start_limit_s: float) -> list[ObjectiveDeadline]:
+        """Return all objectives of a job: for its start, its end and its own deadline.
 
-        ``start_s`` is how soon it is to start, in seconds, if its class has no objective.
+        ``default_start_limit_s`` is the limit for its start, in seconds, if its class has no
+        wait objective.
         """
         name, submitted, deadline = job.spec.job_class, job.submitted, job.spec.deadline_s
-        waits = self._wait_limits.get(name) or [start_s]
+        waits = self._wait_limits.get(name) or [default_start_limit_s]
         deadlines = [
             ObjectiveDeadline(
-                True, f"started {within:g} s", submitted + within, within == max(waits)
+                True, f"started {limit_s:g} s", submitted + limit_s, limit_s == max(waits)
             )
-            for within in waits
+            for limit_s in waits
         ]
         ends = [] if job.service else self._finish_limits.get(name, [])
         deadlines += [
-            ObjectiveDeadline(False, f"done {within:g} s", submitted + within, within == max(ends))
-            for within in ends
+            ObjectiveDeadline(
+                False, f"done {limit_s:g} s", submitted + limit_s, limit_s == max(ends)
+            )
+            for limit_s in ends
         ]
         factors = (
             [] if deadline is None or job.service else self._deadline_factors.get(name) or [1.0]
@@ -137,19 +148,20 @@
         return deadlines
 
     def missed(self, job: Job, now: float, end: float) -> int:
-        """How many of its objectives a job has missed by ``now``, or will if it ends at ``end``.
+        """Return how many objectives a job misses if it ends at ``end``.
 
-        Both are wall times in seconds. Some classes are to be done by their deadline
-        and, if not, at least by some multiple of it; past the last, more delay costs
-        nothing.
+        A wait objective is missed if its limit has passed at ``now`` and no task of the job
+        has been started. Both times are wall times in seconds. A class may have several
+        deadline objectives, each a multiple of the job's deadline; once the last one is
+        missed, further delay makes no difference.
         """
         name, deadline = job.spec.job_class, job.spec.deadline_s
         missed = sum(
-            1 for within in self._finish_limits.get(name, ()) if end - job.submitted > within
+            1 for limit_s in self._finish_limits.get(name, ()) if end - job.submitted > limit_s
         )
         if job.last_attempt == 0:
             missed += sum(
-                1 for within in self._wait_limits.get(name, ()) if now - job.submitted > within
+                1 for limit_s in self._wait_limits.get(name, ()) if now - job.submitted > limit_s
             )
         if deadline is not None:
             factors = self._deadline_factors.get(name) or [1.0]
--- a/appleshift/objectives/recent_demand.py
+++ b/appleshift/objectives/recent_demand.py
@@ -1,4 +1,4 @@
-"""How much capacity work with objectives needed lately."""
+"""Tracks the CPUs that jobs with objectives needed recently."""
 
 from __future__ import annotations
 
@@ -6,18 +6,21 @@
 
 SAMPLE_INTERVAL_S = 1.0
 WINDOW_S = 60.0
-"""Older samples are dropped."""
+"""Samples older than this are dropped."""
 
 
 class RecentDemand:
-    """CPUs that work with objectives needed in the last minute of a leader term."""
+    """Samples of the CPUs that jobs with objectives needed during the last ``WINDOW_S``.
+
+    Samples are kept for one leader term.
+    """
 
     def __init__(self) -> None:
         """Start without samples."""
         self._samples: deque[tuple[float, float]] = deque()
 
     def sample_due(self, now: float) -> bool:
-        """Whether the last sample is older than the sample interval."""
+        """Return whether a sample is due at monotonic time ``now`` in seconds."""
         return not self._samples or now - self._samples[-1][0] >= SAMPLE_INTERVAL_S
 
     def record(self, now: float, cpus: float) -> None:
@@ -27,10 +30,11 @@
             self._samples.popleft()
 
     def expected_cpus(self) -> float:
-        """CPUs to keep for work with objectives: between their average and their peak.
+        """Return the CPUs to keep free for jobs with objectives.
 
-        With the average, best-effort work would occupy the room of each second peak;
-        with the peak, much would lie idle.
+        This is the mean of the average and the peak of the samples. With the average alone,
+        best-effort jobs would occupy the CPUs needed at every second peak; with the peak
+        alone, many CPUs would stay idle.
         """
         samples = [cpus for _, cpus in self._samples]
         return (sum(samples) / len(samples) + max(samples)) / 2 if samples else 0.0
--- a/appleshift/placement/__init__.py
+++ b/appleshift/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which pending tasks go to which machines: bin packing, preemption and fair share."""
+"""Assignment of pending tasks to machines: bin packing, preemption and fair share."""
--- a/appleshift/placement/admission.py
+++ b/appleshift/placement/admission.py
@@ -1,4 +1,4 @@
-"""Which submissions are accepted at all."""
+"""Admission control: decides whether a submitted job is accepted."""
 
 from __future__ import annotations
 
@@ -12,19 +12,26 @@
 def rejection(
     cluster: ClusterState, spec: Submission, counted_resources: CountedResources | None
 ) -> tuple[int, str] | None:
-    """Why a submission cannot be accepted: HTTP status and reason; None: it can.
+    """Return the HTTP status and reason for rejecting a job; None if the job is accepted.
 
-    It can never run (422), is malformed (400), or cannot be judged yet (503).
+    The status is 400 for a malformed job, 422 for a job that can never run, and 503 if
+    the machine types, which the checks need, are not known yet.
     """
     if not cluster.types:
         return 503, "machine types are not known yet"
     team = cluster.team_names.get(spec.team)
     if team < 0:
         return 422, "unknown team"
-    allowed = [kind for kind in cluster.types if spec.types is None or kind.name in spec.types]
+    allowed_types = [
+        machine_type
+        for machine_type in cluster.types
+        if spec.types is None or machine_type.name in spec.types
+    ]
     if spec.zone is not None:
-        allowed = [kind for kind in allowed if spec.zone in kind.zones]
-    if not any(type_fits(kind, spec) for kind in allowed):
+        allowed_types = [
+            machine_type for machine_type in allowed_types if spec.zone in machine_type.zones
+        ]
+    if not any(type_fits(machine_type, spec) for machine_type in allowed_types):
         return 422, "a task fits no allowed machine type"
     tasks = 1 if spec.shape == users.ARRAY else spec.tasks
     if not cluster.teams[team].can_ever_fit(spec.cpus * tasks, spec.gpus * tasks):
--- a/appleshift/placement/counted_resource_interfaces.py
+++ b/appleshift/placement/counted_resource_interfaces.py
@@ -1,6 +1,7 @@
-"""What placement and the scheduler need of counted resources, where any are defined.
+"""Interfaces through which placement and the scheduler use counted resources.
 
-``appleshift.counted_resources`` implements these protocols; nothing here loads it.
+The package ``appleshift.counted_resources`` implements these protocols. This module does
+not import it.
 """
 
 from __future__ import annotations
@@ -15,91 +16,98 @@
 
 
 class CountedResourcePass(Protocol):
-    """Counted resources in one placement pass."""
+    """The counted resources during one placement pass."""
 
     def runs_to_stop(self) -> list[TaskRun]:
-        """Tasks that a lowered total stops; each has its ``stop_grace_s`` set."""
+        """Return the tasks to stop because a resource's total was lowered.
+
+        Each task has its ``stop_grace_s`` set.
+        """
         ...
 
     def would_borrow(self, job: Job) -> bool:
-        """Whether the job's next task would take its team beyond a guarantee."""
+        """Return whether the job's next task would exceed a guarantee of its team."""
         ...
 
     def max_tasks(self, job: Job, most: int) -> int:
-        """How many of a job's tasks may hold what they need now, ``most`` at most."""
+        """Return how many tasks of the job can get their counted resources now, up to ``most``."""
         ...
 
     def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
-        """Note that ``tasks`` tasks lack counted resources.
+        """Record that ``tasks`` tasks of the job lack counted resources.
 
-        Returns the tasks to stop for them if it is ``urgent``.
+        Returns the tasks to stop for them; none unless ``urgent`` is set.
         """
         ...
 
     def no_machine_for(self, job: Job) -> None:
-        """Note that the job could have its counted resources and found no machine."""
+        """Record that counted resources are free for the job but no machine has room for it."""
         ...
 
     def close(self) -> None:
-        """End the pass."""
+        """End the placement pass."""
         ...
 
 
 class CountedResources(CountedResourceTracker, Protocol):
-    """The counted resources of one leader term, as the scheduler uses them."""
+    """The counted resources of one leader term."""
 
     def begin_recovery(self) -> None:
-        """From now on whatever is assigned counts, beginning with what is recovered."""
+        """Start counting assigned tasks, first those that recovery restores from the log."""
         ...
 
     def end_recovery(self) -> None:
-        """Note that all tasks that may be on machines have been counted."""
+        """Record that every task that may be on a machine has been counted."""
         ...
 
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
-        """Why a submission cannot be accepted: HTTP status and reason."""
+        """Return the HTTP status and reason for rejecting a job; None if it is accepted."""
         ...
 
     def begin_pass(self, now: float) -> CountedResourcePass:
-        """Begin a placement pass at monotonic time ``now`` in seconds."""
+        """Start a placement pass at monotonic time ``now`` in seconds."""
         ...
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """By job index: how many of its tasks could hold their counted resources at once."""
+        """Return, by job index, how many of a job's tasks can hold counted resources at once."""
         ...
 
     def step(self, now: float, wall: float) -> bool:
-        """Do what is due; true if a placement pass may place more than before."""
+        """Run periodic work that is due at ``now`` (monotonic) and ``wall`` time, in seconds.
+
+        Returns true if a placement pass may be able to place more tasks than before.
+        """
         ...
 
     def definition_records(self) -> list[Record]:
-        """Records that rebuild the definitions, for a snapshot."""
+        """Return the records of a snapshot that restore the resource definitions."""
         ...
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
-        """Entries of the audit log that are newer than the last snapshot."""
+        """Return the entries of the audit log that are newer than the last snapshot."""
         ...
 
     @property
     def audit_pages(self) -> int:
-        """How many pages of the audit log are kept."""
+        """Number of pages of the audit log that are kept."""
         ...
 
     def reservation_requests(self, now: float) -> list[Any]:
-        """Requests that are due to licence servers."""
+        """Return the requests to licence servers that are due at monotonic time ``now``."""
         ...
 
     def license_server_answered(self, name: str, serial: int, standing: Any, now: float) -> bool:
-        """Handle the reply of a licence server, None if there was none.
+        """Handle the reply of the licence server ``name`` to request ``serial``.
 
-        Returns true if more may be granted than before.
+        ``standing`` is None if the server did not reply. Returns true if more may be
+        granted than before.
         """
         ...
 
     def view(self, now: float) -> dict[str, Any]:
-        """All counted resources, for operators."""
+        """Return the state of all counted resources, for operators."""
         ...
 
     def history(self, after: int) -> dict[str, Any]:
-        """Entries of the audit log with numbers above ``after``, for operators."""
+        """Return the audit log entries with a number above ``after``, for operators."""
         ...
--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -1,4 +1,4 @@
-"""Machines that a job may use, and those of them with room for it."""
+"""Finds the machines that a job may use and the ones that have room for its tasks."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 
 class EligibleMachines:
-    """The usable machines of one placement pass."""
+    """The machines to which one placement pass may assign tasks."""
 
     def __init__(self, cluster: ClusterState, now: float, min_last_heartbeat: float) -> None:
-        """Collect schedulable machines with a heartbeat at ``min_last_heartbeat`` or later."""
+        """Collect schedulable machines with a heartbeat at ``min_last_heartbeat`` or later.
+
+        Both times are monotonic, in seconds.
+        """
         self._cluster = cluster
         self._now = now
         self.pools: dict[tuple[int, int, bool], list[Machine]] = {}
-        """Machines by (type, zone, spot); a job may use either all of a pool or none."""
+        """Machines by (type, zone, spot). A job's constraints allow a whole pool or none of it;
+        only ``Job.avoided_machines`` excludes single machines."""
         self.reserved: set[int] = set()
-        """Indexes of machines whose room is kept for a gang, for this pass."""
+        """Indexes of machines whose free capacity is reserved for a gang during this pass."""
         self.placement_failures = PlacementFailures()
         for machine in cluster.machines.values():
             if (
@@ -35,34 +39,35 @@
                 pool.append(machine)
 
     def gpu_machines(self) -> Iterator[Machine]:
-        """All usable machines with GPUs."""
-        for (kind, _, _), machines in self.pools.items():
-            if self._cluster.types[kind].gpus > 0:
+        """Yield all machines of the pass that have GPUs."""
+        for (type_index, _, _), machines in self.pools.items():
+            if self._cluster.types[type_index].gpus > 0:
                 yield from machines
 
     def placement_key(self, job: Job) -> tuple[object, ...]:
-        """Jobs with the same key may use the same machines."""
+        """Return a key that is equal for jobs whose constraints allow the same machines."""
         spec = job.spec
         gpu_machines = spec.gpus > 0 or spec.types is not None
         return (tuple(self._cluster.eligible_types(job)), job.zone, spec.spot, gpu_machines)
 
     def allowed(self, job: Job, gpu_machines: bool = False) -> Iterator[Machine]:
-        """Machines that the job may use, whether they have room or not.
+        """Yield the machines that the job may use, with or without free capacity.
 
-        GPUs are expensive, and CPU work would block them: it gets GPU machines only
-        if it asks for the type, or with ``gpu_machines``, which yields only those.
+        CPU jobs would block expensive GPUs, so a job without GPUs gets GPU machines only
+        if it requests machine types. With ``gpu_machines`` such a job, if it requests no
+        types, gets GPU machines only.
         """
         spec = job.spec
-        type_ok = self._cluster.eligible_types(job)
-        for (kind, zone, spot), machines in self.pools.items():
-            if not type_ok[kind] or (spot and not spec.spot):
+        eligible_types = self._cluster.eligible_types(job)
+        for (type_index, zone, spot), machines in self.pools.items():
+            if not eligible_types[type_index] or (spot and not spec.spot):
                 continue
             if job.zone >= 0 and zone != job.zone:
                 continue
             if (
                 spec.gpus <= 0
                 and spec.types is None
-                and gpu_machines != (self._cluster.types[kind].gpus > 0)
+                and gpu_machines != (self._cluster.types[type_index].gpus > 0)
             ):
                 continue
             for machine in machines:
@@ -73,25 +78,28 @@
                     yield machine
 
     def in_first_fit_order(self, job: Job, machines: list[Machine]) -> list[Machine]:
-        """Machines with the image first, then spot before on-demand, then by index.
+        """Sort machines by preference for first fit.
 
-        Of machines without the image, those that fetch fastest come first: a
-        replica that has to move is missed until it has its image again.
+        Machines that have the job's image cached come first, then machines without GPUs,
+        then spot before on-demand, then by index. Among machines without the image, a
+        faster fetch precedes the index: a replica that moves is unavailable until its
+        image has been fetched.
         """
         types = self._cluster.types
 
         def key(machine: Machine) -> tuple[bool, bool, bool, float, int]:
-            kind = types[machine.type]
+            machine_type = types[machine.type]
             missing = job.image not in machine.images
-            speed = -kind.fetch_gb_per_s if missing else 0.0
-            return (missing, kind.gpus > 0, not machine.spot, speed, machine.index)
+            speed = -machine_type.fetch_gb_per_s if missing else 0.0
+            return (missing, machine_type.gpus > 0, not machine.spot, speed, machine.index)
 
         return sorted(machines, key=key)
 
     def with_room(self, job: Job) -> list[Machine]:
-        """Machines with room for a task of the job, in the order of first fit.
+        """Return the machines with room for a task of the job, in first-fit order.
 
-        Remembers a job that finds none, unless it avoids machines for a while.
+        If there are none, records the failure for ``cannot_fit``, unless the job is
+        temporarily excluded from some machines, which other jobs may use.
         """
         cpus, gpus = job.spec.cpus - EPSILON, job.spec.gpus - EPSILON
         memory = job.spec.memory_gb - EPSILON
@@ -108,5 +116,5 @@
         return self.in_first_fit_order(job, found)
 
     def cannot_fit(self, job: Job) -> bool:
-        """Whether work that needs no more has already found no room in this pass."""
+        """Return whether a job with the same or smaller needs found no room in this pass."""
         return self.placement_failures.covers(self.placement_key(job), job.spec)
--- a/appleshift/placement/fair_share.py
+++ b/appleshift/placement/fair_share.py
@@ -1,13 +1,13 @@
-"""Turns of a placement pass: beside the order of urgency every array gets its share.
+"""Fair share: the order in which a placement pass serves jobs, with a share for every array.
 
-The least work first keeps the number of late jobs down and would let a large array wait
-for as long as there are small ones. Three exceptions stand beside that order:
+Placing jobs with the least work first minimizes the number of late jobs, but starves a
+large array for as long as small ones arrive. There are three exceptions to that order:
 
-- An array of which nothing has started after a while gets a place for one task.
-- Arrays that wait for long get a small part of the CPUs together, the oldest first.
-- Best-effort work, of which nobody says when it is to be done, comes last among its
-  priority, and if it is long it uses only what other work did not need lately: it cannot
-  be stopped for that. A small part of the CPUs is its own all the same.
+- An array without a started task gets one task placed after ``FIRST_TASK_AFTER_S``.
+- Overdue arrays share a small part of the CPUs, the oldest array first.
+- Best-effort jobs, for which no objective is defined, come last within their priority.
+  Those with long tasks use only CPUs that other jobs did not need recently, because their
+  tasks are not stopped to give CPUs back. A small part of the CPUs is always theirs.
 
 ``docs/design-served.md`` compares the alternatives and their costs.
 """
@@ -23,38 +23,39 @@
 from appleshift.state.states import OPEN
 
 FIRST_TASK_AFTER_S = 60.0
-"""An array of which nothing has started by then gets a place for one task."""
+"""An array of this age without a started task gets one task placed ahead of order."""
 AHEAD_OF_URGENT_AFTER_S = 150.0
-"""From then on an array goes before more urgent work, too, critical work excepted: the
-operators want the largest jobs started within 240 s."""
+"""From this age on an array precedes higher priorities too, except critical jobs:
+operators require the largest jobs to start affordable_tasks 240 s."""
 OVERDUE_AFTER_S = 120.0
-"""An array that is older than this is overdue."""
+"""An array of this age or older is overdue."""
 OVERDUE_CPU_SHARE = 0.08
-"""The part of the CPUs of machines without GPUs that overdue arrays have for themselves."""
+"""Fraction of the CPUs of machines without GPUs that is set aside for overdue arrays."""
 BEST_EFFORT_CPU_SHARE = 0.08
-"""The part of these CPUs that best-effort work has for itself."""
+"""Fraction of the CPUs of machines without GPUs that is set aside for best-effort jobs."""
 LONG_TASK_S = 30.0
-"""Best-effort tasks that run for less leave soon enough and are not limited."""
+"""Best-effort jobs whose tasks run no longer than this free their CPUs soon and are not
+limited to idle CPUs."""
 HIGHEST_EARLY_RANK = 1
-"""The rank below critical work."""
+"""Highest priority rank of an early turn: the one just below critical jobs."""
 MIN_CPUS = 0.01
-"""Tasks count as this many CPUs at least, so that the division is defined."""
+"""Lower bound of a task's CPUs in divisions, which avoids a division by zero."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementTurn:
-    """A job's turn to be placed; a job may have several in a pass."""
+    """One attempt to place tasks of a job; a job may have several turns in a pass."""
 
     job: Job
     max_tasks: int | None = None
-    """Place so many tasks at most and report no shortage of the rest; None: all."""
+    """Place at most this many tasks and report no shortage for the others; None: all tasks."""
     rank: int | None = None
-    """The rank by which it is the job's turn, if that is not the job's own."""
+    """Priority rank of this turn; None: the job's own rank."""
 
 
 @dataclass(frozen=True, slots=True)
 class _EarlyTurn:
-    """Places for an array before its turn by urgency."""
+    """Placement of some tasks of an array ahead of its turn by urgency."""
 
     job: Job
     max_tasks: int
@@ -69,14 +70,15 @@
     now: float,
     wall: float,
 ) -> Iterator[PlacementTurn]:
-    """The turns of one pass over jobs that are in the order of urgency.
+    """Yield the turns of one placement pass over ``order``, the jobs by urgency.
 
-    Yields lazily: what earlier turns placed counts for later ones.
+    The generator is lazy, so a later turn sees the tasks that earlier turns placed.
+    ``now`` is monotonic time and ``wall`` wall time, both in seconds.
     """
     cpus = sum(
-        len(machines) * cluster.types[kind].cpus
-        for (kind, _, _), machines in pools.items()
-        if cluster.types[kind].gpus <= 0
+        len(machines) * cluster.types[type_index].cpus
+        for (type_index, _, _), machines in pools.items()
+        if cluster.types[type_index].gpus <= 0
     )
     best_effort = [job for job in order if objectives.is_best_effort(job)]
     demand = objectives.recent_demand
@@ -103,7 +105,10 @@
 
 
 def _is_limited_to_idle(job: Job, cluster: ClusterState, objectives: Objectives) -> bool:
-    """Whether an array is best-effort work with long tasks."""
+    """Return whether a job may use only CPUs that other jobs do not need.
+
+    This holds for best-effort arrays with long tasks.
+    """
     return not (
         job.gang
         or job.service
@@ -115,10 +120,10 @@
 def _early_turns(
     order: Sequence[Job], best_effort: Sequence[Job], cpus: float, wall: float
 ) -> Iterator[_EarlyTurn]:
-    """Arrays that get some places before their turn.
+    """Yield the turns of arrays that get some tasks placed ahead of their order.
 
-    Best-effort arrays come in the order of urgency, those that are soonest over first,
-    or all of them would be half done.
+    Overdue arrays come oldest first. Best-effort arrays come in order of urgency, least
+    work first: otherwise all of them would make progress and none would finish.
     """
     best_effort_jobs = {job.index for job in best_effort}
     arrays = [
@@ -136,14 +141,15 @@
         started = bool(job.runs) or job.done_count > 0
         max_tasks = 0 if started or wall - job.submitted < FIRST_TASK_AFTER_S else 1
         if is_best_effort or _is_overdue(job, wall):
-            within = int(cpus_left[is_best_effort] / max(MIN_CPUS, job.spec.cpus))
-            max_tasks = max(max_tasks, min(len(job.pending), within))
+            affordable_tasks = int(cpus_left[is_best_effort] / max(MIN_CPUS, job.spec.cpus))
+            max_tasks = max(max_tasks, min(len(job.pending), affordable_tasks))
             cpus_left[is_best_effort] -= max_tasks * job.spec.cpus
         if max_tasks > 0:
             yield _EarlyTurn(job, max_tasks, _early_rank(job, wall))
 
 
 def _early_rank(job: Job, wall: float) -> int:
+    """Return the priority rank of an array's early turn."""
     if wall - job.submitted < AHEAD_OF_URGENT_AFTER_S:
         return job.rank
     return min(job.rank, HIGHEST_EARLY_RANK)
@@ -158,7 +164,10 @@
 
 
 def _cpus_needed(jobs: Iterable[Job], objectives: Objectives) -> float:
-    """CPUs for all started and pending tasks of CPU work that is not best-effort."""
+    """Return the CPUs that all started and pending tasks need.
+
+    Counts open jobs without GPUs that are not best-effort.
+    """
     return sum(
         (len(job.runs) + len(job.pending)) * job.spec.cpus
         for job in jobs
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -1,6 +1,7 @@
-"""First-fit placement: which pending tasks go to which machines.
+"""First-fit placement of pending tasks on machines.
 
-Only decides; the scheduler logs each decision durably before any worker learns of it.
+Placement only decides. The scheduler makes each decision durable in the write-ahead log
+before it sends a command to a worker.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class FirstFitPlacer:
-    """One placement pass over the cluster's state."""
+    """Runs one placement pass over the state of the cluster."""
 
     def __init__(
         self,
@@ -29,8 +30,8 @@
     ) -> None:
         """Prepare a pass at monotonic time ``now`` and wall time ``wall``, in seconds.
 
-        Only machines whose last heartbeat is not before ``min_last_heartbeat`` (monotonic) get
-        tasks. ``counted_resources`` is None where none are defined.
+        Only machines with a heartbeat at monotonic time ``min_last_heartbeat`` or later get
+        tasks. ``counted_resources`` is None if none are defined.
         """
         self.placement_pass = PlacementPass(
             cluster, now, wall, min_last_heartbeat, objectives or Objectives(), counted_resources
@@ -39,34 +40,34 @@
         self._gangs = GangPlacer(self.placement_pass)
 
     def run(self, preempt: bool) -> PlacementResult:
-        """Place what fits; with ``preempt``, choose victims for what does not.
+        """Place the tasks that fit; with ``preempt``, choose tasks to stop for the others.
 
-        May be called once.
+        May be called only once.
         """
-        shared = self.placement_pass
-        shared.preempt = preempt
-        if shared.counted_resources is not None:
-            shared.result.preempted += shared.counted_resources.runs_to_stop()
-        order = shared.urgency.pending_jobs()
+        placement_pass = self.placement_pass
+        placement_pass.preempt = preempt
+        if placement_pass.counted_resources is not None:
+            placement_pass.result.preempted += placement_pass.counted_resources.runs_to_stop()
+        order = placement_pass.urgency.pending_jobs()
         for turn in placement_turns(
             order,
-            shared.cluster,
-            shared.machines.pools,
-            shared.objectives,
-            shared.now,
-            shared.wall,
+            placement_pass.cluster,
+            placement_pass.machines.pools,
+            placement_pass.objectives,
+            placement_pass.now,
+            placement_pass.wall,
         ):
             self._place(turn)
-        if shared.counted_resources is not None:
-            shared.counted_resources.close()
-        return shared.result
+        if placement_pass.counted_resources is not None:
+            placement_pass.counted_resources.close()
+        return placement_pass.result
 
     def _place(self, turn: PlacementTurn) -> None:
-        shared = self.placement_pass
+        placement_pass = self.placement_pass
         job = turn.job
-        shared.turn_rank = turn.rank
+        placement_pass.turn_rank = turn.rank
         missing = self._gangs.place(job) if job.gang else self._tasks.place(job, turn.max_tasks)
         if missing and turn.max_tasks is None:
-            shared.result.shortages.append(Shortage(job, missing))
-            if shared.preempt and shared.preemption_delay_is_over(job):
-                shared.result.preempted += shared.preemption.victims(job, missing)
+            placement_pass.result.shortages.append(Shortage(job, missing))
+            if placement_pass.preempt and placement_pass.preemption_delay_is_over(job):
+                placement_pass.result.preempted += placement_pass.preemption.victims(job, missing)
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -1,4 +1,4 @@
-"""How many tasks fit into free capacity, and what stopping a task costs."""
+"""Computes how many tasks fit into free capacity and the cost of stopping a task."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TaskGroupSize(Protocol):
-    """A number of equal tasks, and what each of them needs."""
+    """The number of equal tasks in a group and the resources that one task needs."""
 
     @property
     def tasks(self) -> int:
@@ -36,7 +36,7 @@
 
 
 def tasks_that_fit(cpus: float, gpus: float, memory_gb: float, spec: TaskGroupSize) -> int:
-    """How many of a group's tasks fit into some free capacity."""
+    """Return how many tasks of a group fit into the given free CPUs, GPUs and memory."""
     count = spec.tasks
     for free, need in ((cpus, spec.cpus), (gpus, spec.gpus), (memory_gb, spec.memory_gb)):
         if need > EPSILON:
@@ -45,7 +45,10 @@
 
 
 def spread_allowance_per_zone(cluster: ClusterState, job: Job) -> dict[int, int] | None:
-    """How many more tasks of a spread job each zone may take; None: no limit."""
+    """Return how many more tasks of a spread job each zone may run.
+
+    None if the job is not spread. A zone may run half of the tasks, rounded up.
+    """
     spec = job.spec
     if not spec.spread:
         return None
@@ -55,13 +58,16 @@
 
 
 def stop_grace_s(run: TaskRun) -> float:
-    """Time in seconds that a task needs to save a checkpoint when it is stopped."""
+    """Return the time in seconds that a stopping task needs to save a checkpoint."""
     spec = run.job.spec
     return spec.save_s if spec.checkpoint_s > 0 else 0.0
 
 
 def lost_work_s(run: TaskRun, now: float) -> float:
-    """Run time in seconds that a stop wastes: work that cannot be saved, and the saving."""
+    """Return the run time in seconds that stopping a task wastes.
+
+    This is the time to save a checkpoint or, without checkpoints, the whole run time.
+    """
     spec = run.job.spec
     if spec.checkpoint_s > 0:
         return spec.save_s
@@ -69,23 +75,23 @@
 
 
 class PlacementFailures:
-    """Needs that found no room in this pass, by the places that they may use.
+    """Resource needs that found no room in this pass, by the machines they may use.
 
-    Room only shrinks during a pass, so whatever needs at least as much in the same
-    places must fail as well and is not tried. A gang needs room for all its tasks
-    at once, so their number counts too.
+    Free capacity only shrinks during a pass, so a job that needs at least as much on the
+    same machines would fail too and is not tried. The number of tasks is recorded as well,
+    because a gang needs room for all its tasks at once.
     """
 
     def __init__(self) -> None:
-        """Start a pass in which nothing has failed."""
+        """Start a pass without failures."""
         self._needs: dict[tuple[object, ...], list[tuple[Submission, int]]] = {}
 
     def add(self, key: tuple[object, ...], spec: Submission, tasks: int = 1) -> None:
-        """Record that ``tasks`` tasks at once found no room in the places of ``key``."""
+        """Record that ``tasks`` tasks at once found no room on the machines of ``key``."""
         self._needs.setdefault(key, []).append((spec, tasks))
 
     def covers(self, key: tuple[object, ...], spec: Submission, tasks: int = 1) -> bool:
-        """Whether something that needs no more has already failed in the same places."""
+        """Return whether the same or smaller needs have failed on the machines of ``key``."""
         return any(
             failed_tasks <= tasks
             and failed.cpus <= spec.cpus
@@ -96,11 +102,11 @@
 
 
 def may_share_gpu_machine(job: Job) -> bool:
-    """Whether a job may use the CPUs that GPU work leaves on GPU machines.
+    """Return whether a job may use the CPUs that GPU jobs leave free on GPU machines.
 
-    Only CPU work that ends and is bound to no place may: a replica would keep an
-    expensive machine from being returned for good.
+    Only CPU jobs that end and have no placement constraint (spread, together, machine
+    types) may: a replica would prevent the return of an expensive machine forever.
     """
     spec = job.spec
-    bound = spec.spread or spec.together or spec.types is not None
-    return not (spec.gpus > 0 or job.gang or job.service or bound)
+    constrained = spec.spread or spec.together or spec.types is not None
+    return not (spec.gpus > 0 or job.gang or job.service or constrained)
--- a/appleshift/placement/freeable_capacity.py
+++ b/appleshift/placement/freeable_capacity.py
@@ -1,7 +1,7 @@
-"""Free capacity of machines during a pass, with what their stopping tasks will free.
+"""Capacity of machines that is free or that stopping tasks will free.
 
-A pass asks for one short job after the other. What stops already under way will
-free counts before new victims are chosen, and is promised to one job only.
+A placement pass makes room for one job after another. Capacity that stopping tasks will
+free is used before new tasks are chosen to be stopped, and is promised to one job only.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 
 @dataclass(slots=True)
 class FreeableCapacity:
-    """What a machine has free or will have, and which tasks it could stop."""
+    """The capacity of a machine that is or will be free, and its tasks that can be stopped."""
 
     cpus: float
     gpus: float
     memory_gb: float
     runs: list[TaskRun] = field(default_factory=list)
-    """Tasks that could be stopped."""
+    """Tasks that can be stopped."""
     stopping: bool = False
-    """Whether a task is being stopped there."""
+    """Whether a task of the machine is being stopped."""
     least_urgent_rank: int = -1
-    """The largest rank of ``runs``; a larger rank is less urgent."""
+    """Largest priority rank among ``runs``, -1 without any; a larger rank is less urgent."""
 
     def add(self, job: Job) -> None:
-        """Add what a task of the job frees."""
+        """Add the resources of one task of the job."""
         self.cpus += job.spec.cpus
         self.gpus += job.spec.gpus
         self.memory_gb += job.spec.memory_gb
 
     def subtract(self, job: Job, tasks: int) -> None:
-        """Subtract what tasks of the job use."""
+        """Subtract the resources of ``tasks`` tasks of the job."""
         self.cpus -= job.spec.cpus * tasks
         self.gpus -= job.spec.gpus * tasks
         self.memory_gb -= job.spec.memory_gb * tasks
 
     def fits(self, job: Job) -> bool:
-        """Whether there is room for a task of the job."""
+        """Return whether a task of the job fits."""
         spec = job.spec
         return (
             self.cpus + EPSILON >= spec.cpus
@@ -50,18 +50,21 @@
         )
 
     def promise(self, job: Job) -> bool:
-        """Keep room for a task of the job; false if there is none."""
+        """Promise capacity to one task of the job; returns false if the task does not fit."""
         if not self.fits(job):
             return False
         self.subtract(job, 1)
         return True
 
     def tasks_that_fit(self, job: Job) -> int:
-        """How many tasks of the job fit."""
+        """Return how many tasks of the job fit."""
         return tasks_that_fit(self.cpus, self.gpus, self.memory_gb, job.spec)
 
     def stop(self, run: TaskRun) -> None:
-        """Choose one of ``runs`` as a victim: its grace is set and its room is counted."""
+        """Choose one of ``runs`` to be stopped.
+
+        Sets its ``stop_grace_s`` and adds its resources to the capacity.
+        """
         run.stop_grace_s = stop_grace_s(run)
         self.runs.remove(run)
         self.stopping = True
@@ -69,21 +72,21 @@
 
 
 class FreeableCapacities:
-    """The room of each machine that a pass has asked for."""
+    """The freeable capacity of machines, computed on demand during a placement pass."""
 
     def __init__(self) -> None:
-        """Start a pass; capacity is computed when they are first asked for."""
+        """Start a pass; the capacity of a machine is computed on its first use."""
         self._capacities: dict[int, FreeableCapacity] = {}
 
     def of(self, machine: Machine) -> FreeableCapacity:
-        """The room of a machine, kept for the rest of the pass."""
+        """Return the freeable capacity of a machine; later calls return the same object."""
         capacity = self._capacities.get(machine.index)
         if capacity is None:
             capacity = self._capacities[machine.index] = _freeable_capacity(machine)
         return capacity
 
     def record_placement(self, job: Job, machine: Machine, tasks: int) -> None:
-        """Subtract tasks that this pass placed on a machine."""
+        """Subtract ``tasks`` tasks of a job that this pass placed on a machine."""
         capacity = self._capacities.get(machine.index)
         if capacity is not None:
             capacity.subtract(job, tasks)
@@ -95,7 +98,7 @@
         if run.state == EXITED:
             continue
         if run.stop_grace_s is not None:
-            # Already being stopped: its room comes without a new victim.
+            # Already stopping: its resources become free without another stop.
             capacity.stopping = True
             capacity.add(run.job)
         elif run.state != ASSIGNED:
--- a/appleshift/placement/gang_placement.py
+++ b/appleshift/placement/gang_placement.py
@@ -1,4 +1,4 @@
-"""Places gangs: all their tasks at once or none."""
+"""Places gangs: either all tasks of a gang at once or none."""
 
 from __future__ import annotations
 
@@ -17,11 +17,15 @@
         """Place in ``placement_pass``."""
         self._pass = placement_pass
         self._reservations = GangReservations(placement_pass)
-        self._teams_saving: set[int] = set()
-        """Teams, by index, that save what their limit leaves for a large gang."""
+        self._teams_reserving_limit: set[int] = set()
+        """Indexes of teams that keep the remainder of their limit for a large gang."""
 
     def place(self, job: Job) -> int:
-        """Place a whole gang or nothing of it; returns how many tasks found no room."""
+        """Place all pending tasks of a gang or none; returns how many tasks found no room.
+
+        Returns 0 if the gang waits for its old attempt, its team's limit or counted
+        resources: no machine would help it.
+        """
         tasks = len(job.pending)
         if not self._may_start(job) or not self._pass.limit_by_counted_resources(job):
             return 0
@@ -39,23 +43,24 @@
         return tasks
 
     def _may_start(self, job: Job) -> bool:
-        """Whether the old attempt is over and the team's limit leaves room for the gang."""
+        """Return whether the old attempt has ended and the gang fits into its team's limit."""
         spec = job.spec
         tasks = len(job.pending)
         if job.runs or tasks < spec.tasks - job.done_count:
             # Tasks of the old attempt may still be on their machines.
             return False
-        if job.team in self._teams_saving:
+        if job.team in self._teams_reserving_limit:
             return False
         team = self._pass.cluster.teams[job.team]
         if team.within_limits(spec.cpus * tasks, spec.gpus * tasks):
             return True
         if self._pass.urgency.age_s(job) >= RESERVE_ALWAYS_AFTER_S:
-            # What falls free of the limit goes to it, not to smaller gangs that come.
-            self._teams_saving.add(job.team)
+            # The rest of the limit is kept for this gang instead of going to smaller, newer ones.
+            self._teams_reserving_limit.add(job.team)
         return False
 
     def _start(self, job: Job, plan: list[tuple[Machine, int]]) -> None:
+        """Assign the tasks of a gang to machines as planned."""
         attempt = job.last_attempt + 1
         tasks = sorted(job.pending)
         position = 0
@@ -64,7 +69,10 @@
             position += count
 
     def _by_zone(self, job: Job, machines: list[Machine]) -> list[list[Machine]]:
-        """The zone with least room first, so that large gangs find room in another."""
+        """Group machines by zone, the zone with the least room first.
+
+        Small gangs thus leave the zones with more room to large gangs.
+        """
         zones: dict[int, list[Machine]] = {}
         for machine in machines:
             zones.setdefault(machine.zone, []).append(machine)
@@ -76,16 +84,16 @@
     def _plan(
         self, job: Job, machines: list[Machine], tasks: int
     ) -> list[tuple[Machine, int]] | None:
-        """How many tasks go to each machine; None if not all find room."""
-        per_zone = spread_allowance_per_zone(self._pass.cluster, job)
+        """Return the number of tasks for each machine; None if not all of them fit."""
+        zone_allowance = spread_allowance_per_zone(self._pass.cluster, job)
         plan: list[tuple[Machine, int]] = []
         for machine in machines:
             if not tasks:
                 break
             count = min(tasks, free_tasks_that_fit(machine, job))
-            if per_zone is not None:
-                count = min(count, per_zone[machine.zone])
-                per_zone[machine.zone] -= count
+            if zone_allowance is not None:
+                count = min(count, zone_allowance[machine.zone])
+                zone_allowance[machine.zone] -= count
             if count > 0:
                 plan.append((machine, count))
                 tasks -= count
--- a/appleshift/placement/gang_preemption.py
+++ b/appleshift/placement/gang_preemption.py
@@ -1,4 +1,4 @@
-"""Which tasks to stop so that a whole gang finds room."""
+"""Chooses tasks to stop so that a whole gang fits."""
 
 from __future__ import annotations
 
@@ -14,15 +14,20 @@
 
 
 def frees_nothing_needed(spec: Submission, run: TaskRun) -> bool:
-    """Whether stopping CPU work would not help GPU work, for want of a free GPU.
+    """Return whether stopping a CPU task would not help a job that needs GPUs.
 
-    CPU work on GPU machines leaves the GPUs the CPUs that they need.
+    This holds if the machine has too few free GPUs: CPU tasks on a GPU machine leave
+    enough CPUs for its GPUs, so stopping them does not make room for GPU work.
     """
     return spec.gpus > 0 and run.job.spec.gpus <= 0 and run.machine.free_gpus + EPSILON < spec.gpus
 
 
 def may_preempt(job: Job, run: TaskRun, borrowers: set[int]) -> bool:
-    """Whether a task may be stopped for a job: it is less urgent, or its team borrows."""
+    """Return whether a task may be stopped for a job.
+
+    The task must be less urgent, or its team must be one of the ``borrowers``, which use
+    more than their guarantee.
+    """
     if frees_nothing_needed(job.spec, run):
         return False
     return run.rank > job.rank or run.job.team in borrowers
@@ -30,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _GangPlan:
-    """Stops on some machines that make room for a whole gang there."""
+    """Tasks whose stop makes room for a whole gang on a group of machines."""
 
     victims: list[TaskRun]
     machines: list[Machine]
@@ -38,7 +43,7 @@
 
 
 class GangPreemption:
-    """Chooses victims for gangs at the least cost; nothing stops for a part of a gang."""
+    """Chooses the cheapest tasks to stop for a gang; none if they make room for only part."""
 
     def __init__(
         self, machines: EligibleMachines, capacities: FreeableCapacities, now: float
@@ -49,7 +54,10 @@
         self._now = now
 
     def victims(self, job: Job, tasks: int, borrowers: set[int]) -> list[TaskRun] | None:
-        """Stop just enough for all tasks of a gang; None if no stops would make room."""
+        """Choose the tasks to stop for ``tasks`` tasks of a gang and promise their capacity.
+
+        Returns None if no stops would make room for the whole gang.
+        """
         plans = list(self._plans(job, tasks, borrowers))
         if not plans:
             return None
@@ -62,7 +70,10 @@
         return cheapest.victims
 
     def _plans(self, job: Job, tasks: int, borrowers: set[int]) -> Iterator[_GangPlan]:
-        """A plan for each zone in which stops make room, or one for all zones."""
+        """Yield the plans that make room: one per zone, or a single one for all zones.
+
+        Plans are per zone if the gang has to run in one zone.
+        """
         zones: dict[int, list[Machine]] = {}
         for machine in self._machines.allowed(job):
             zones.setdefault(machine.zone if job.spec.together else -1, []).append(machine)
@@ -75,13 +86,13 @@
     def _victims_on(
         self, job: Job, machines: list[Machine], tasks: int, borrowers: set[int]
     ) -> list[TaskRun] | None:
-        """Which tasks to stop so that the whole gang fits on these machines; None: it cannot."""
-        # A gang that loses one task stops whole: count all of it, once.
+        """Return the tasks to stop so that the gang fits on these machines; None if impossible."""
+        # A gang that loses one task stops as a whole, so its tasks form one group.
         groups: dict[tuple[int, int], list[TaskRun]] = {}
         for machine in machines:
             capacity = self._capacities.of(machine)
             if capacity.gpus + EPSILON >= job.spec.gpus:
-                # Most machines have no GPU free: what else they have does not matter.
+                # Skips the computation for most machines: they have no free GPU.
                 tasks -= capacity.tasks_that_fit(job)
             if capacity.least_urgent_rank <= job.rank and not borrowers:
                 continue
@@ -98,8 +109,11 @@
     def _cheapest(
         self, job: Job, tasks: int, groups: Iterable[list[TaskRun]]
     ) -> list[TaskRun] | None:
-        """The cheapest groups whose stops make room for more tasks; None: not even all do."""
-        # Copies, for the plan may not be the one that is carried out.
+        """Return the tasks of the cheapest groups that make room for ``tasks`` more tasks.
+
+        None if stopping all groups does not suffice.
+        """
+        # Work on copies: another plan may turn out cheaper.
         capacities = {
             run.machine.index: replace(self._capacities.of(run.machine), runs=[])
             for group in groups
@@ -118,7 +132,11 @@
         return None
 
     def _cost(self, group: list[TaskRun]) -> tuple[int, float]:
-        """The least urgent first, then by lost run time for each task that stops here."""
+        """Return the sort key of a group: least urgent first, then least run time lost.
+
+        The run time that the stop wastes is divided by the tasks that stop on these
+        machines; for a gang it includes its tasks on other machines.
+        """
         victim = group[0].job
         stopped = victim.runs.values() if victim.gang else group
         return (-victim.rank, sum(lost_work_s(run, self._now) for run in stopped) / len(group))
--- a/appleshift/placement/gang_reservation.py
+++ b/appleshift/placement/gang_reservation.py
@@ -1,4 +1,4 @@
-"""Keeps machines that fall free for gangs that fit nowhere yet."""
+"""Reserves machines that become free for gangs that do not fit yet."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 
 class GangReservations:
-    """The reservations of one placement pass."""
+    """The reservations of machines for gangs in one placement pass."""
 
     def __init__(self, placement_pass: PlacementPass) -> None:
         """Reserve machines of ``placement_pass``."""
         self._pass = placement_pass
         self._reserving: set[tuple[object, ...]] = set()
-        """Placement keys of the gangs that reserve machines."""
+        """Placement keys for which a gang has reserved machines."""
 
     def reserve(self, job: Job, machines: list[Machine], tasks: int) -> None:
-        """Keep what is free for the first gang that does not fit.
+        """Reserve free machines for the first gang that does not fit.
 
-        Smaller gangs would take every machine that falls free, and a large one would
-        never find enough at once. Only one gang for each placement key reserves, in one
-        zone, no more than it needs, and only where it could fit.
+        Without reservations smaller gangs would take each machine that becomes free, and a
+        large gang would never find enough at once. Only one gang per placement key
+        reserves machines, and no more than it needs. A gang that has to run in one zone
+        reserves in one zone that is large enough for it.
         """
         key = self._pass.machines.placement_key(job)
         if key in self._reserving or job.spec.spread or not self._pass.urgency.should_reserve(job):
             return
-        size = self._tasks_per_zone(job)
-        zones = [zone for zone, max_tasks in size.items() if max_tasks >= tasks]
+        zone_capacity = self._tasks_per_zone(job)
+        zones = [zone for zone, max_tasks in zone_capacity.items() if max_tasks >= tasks]
         if job.spec.together and not zones:
             return
         self._reserving.add(key)
-        job.gathering_zone = _choose_zone(job, machines, tasks, zones, size)
+        job.gathering_zone = _choose_zone(job, machines, tasks, zones, zone_capacity)
         for machine in machines:
             if tasks <= 0:
                 break
@@ -44,27 +45,30 @@
                 tasks -= free_tasks_that_fit(machine, job)
 
     def _tasks_per_zone(self, job: Job) -> Counter[int]:
-        """How many tasks of a job fit in each zone while nothing else runs there."""
-        size: Counter[int] = Counter()
+        """Return how many tasks of a job fit in each zone if all its machines are empty."""
+        zone_capacity: Counter[int] = Counter()
         for machine in self._pass.machines.allowed(job):
             kind = self._pass.cluster.types[machine.type]
-            size[machine.zone] += tasks_that_fit(kind.cpus, kind.gpus, kind.memory_gb, job.spec)
-        return size
+            zone_capacity[machine.zone] += tasks_that_fit(
+                kind.cpus, kind.gpus, kind.memory_gb, job.spec
+            )
+        return zone_capacity
 
 
 def _choose_zone(
-    job: Job, machines: list[Machine], tasks: int, zones: Sequence[int], size: Counter[int]
+    job: Job, machines: list[Machine], tasks: int, zones: Sequence[int], zone_capacity: Counter[int]
 ) -> int:
-    """The zone in which the gang will fit soonest; -1 if it fits in no single one.
+    """Return the zone in which the gang is expected to fit first; -1 without candidates.
 
-    Machines fall free the sooner the more there are. What a gang has reserved is lost
-    if it turns to another zone: it does so only for half the wait that is left.
+    The estimated wait is the number of tasks without room divided by the capacity of the
+    zone, because machines become free more often in a larger zone. A gang that changes
+    zones loses its reservations, so it does so only if that at least halves the wait.
     """
     free: Counter[int] = Counter()
     for machine in machines:
         free[machine.zone] += free_tasks_that_fit(machine, job)
-    wait = {zone: max(0, tasks - free[zone]) / size[zone] for zone in zones}
-    soonest = min(zones, key=lambda zone: (wait[zone], -size[zone]), default=-1)
+    wait = {zone: max(0, tasks - free[zone]) / zone_capacity[zone] for zone in zones}
+    soonest = min(zones, key=lambda zone: (wait[zone], -zone_capacity[zone]), default=-1)
     if job.gathering_zone in zones and wait[soonest] > wait[job.gathering_zone] / 2:
         return job.gathering_zone
     return soonest
--- a/appleshift/placement/placement_pass.py
+++ b/appleshift/placement/placement_pass.py
@@ -1,4 +1,4 @@
-"""What the parts of one placement pass share."""
+"""State that is shared by the components of one placement pass."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PlacementPass:
-    """The state of one pass, and the decisions that all kinds of jobs have in common."""
+    """The state of one placement pass, and the decisions common to all job shapes."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         objectives: Objectives,
         counted_resources: CountedResourcePass | None,
     ) -> None:
-        """Begin a pass; parameters are those of ``FirstFitPlacer``."""
+        """Start a pass; ``FirstFitPlacer`` documents the parameters."""
         self.cluster = cluster
         self.now = now
         self.wall = wall
@@ -39,28 +39,28 @@
         self.preempt = False
         """Whether this pass may stop tasks."""
         self.turn_rank: int | None = None
-        """The rank by which it is the present job's turn, if not its own."""
+        """Priority rank of the current turn; None: the rank of the job."""
 
     def preemption_delay_is_over(self, job: Job) -> bool:
-        """Whether a job has waited long enough for room that comes by itself."""
+        """Return whether a job has waited long enough to preempt tasks for it."""
         return self.urgency.age_s(job) >= self.objectives.preemption_delay_s(job)
 
     def assign(self, job: Job, machine: Machine, attempt: int, tasks: list[int]) -> None:
-        """Place tasks on a machine."""
+        """Assign tasks of a job to a machine and record the placement."""
         for task in tasks:
             run = self.cluster.assign(job, task, attempt, machine, machine.agent_epoch)
-            # What is placed before more urgent work must not be stopped for it, or both
-            # take each other's room in every pass and neither ever runs.
+            # A task placed ahead of more urgent jobs must not be preempted for them:
+            # otherwise both would displace each other in every pass and neither would run.
             run.rank = job.rank if self.turn_rank is None else min(job.rank, self.turn_rank)
         self.preemption.record_placement(job, machine, len(tasks))
         self.spare_gpu_machine_capacity.record_placement(job, machine, len(tasks))
         self.result.placements.append(Placement(job, machine, attempt, tasks))
 
     def limit_by_counted_resources(self, job: Job) -> int:
-        """How many pending tasks may hold the counted resources that they need now.
+        """Return how many pending tasks can get the counted resources that they need now.
 
-        The others wait for counted resources alone: no machine is rented for them and
-        none is emptied. Only tasks that hold counted resources may be stopped for them.
+        The other tasks wait for counted resources: no machine is rented for them, and
+        only tasks that hold counted resources may be stopped for them.
         """
         pending = len(job.pending)
         if not job.counted_needs or self.counted_resources is None:
@@ -74,6 +74,6 @@
         return allowed
 
     def record_no_machine(self, job: Job) -> None:
-        """Note that counted resources are free for a job of which no task found a machine."""
+        """Record that no task of a job found a machine although its counted resources are free."""
         if job.counted_needs and self.counted_resources is not None:
             self.counted_resources.no_machine_for(job)
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Which tasks to stop so that more urgent work finds room."""
+"""Chooses tasks to stop (preempt) so that more urgent jobs find room."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Preemption:
-    """The victims of one placement pass."""
+    """Chooses the tasks that one placement pass preempts."""
 
     def __init__(
         self, cluster: ClusterState, machines: EligibleMachines, urgency: UrgencyOrder, now: float
@@ -29,45 +29,48 @@
         self._now = now
         self._capacities = FreeableCapacities()
         self._gangs = GangPreemption(machines, self._capacities, now)
-        self._least_urgent_beside_gpus: int | None = None
-        self._failed = PlacementFailures()
+        self._least_urgent_rank_for_gpus: int | None = None
+        self._failures = PlacementFailures()
 
     def record_placement(self, job: Job, machine: Machine, tasks: int) -> None:
-        """Subtract tasks that this pass placed on a machine from its capacity."""
+        """Subtract ``tasks`` placed tasks of a job from the freeable capacity of a machine."""
         self._capacities.record_placement(job, machine, tasks)
 
     def victims(self, job: Job, missing: int) -> list[TaskRun]:
-        """Stop just enough less urgent work to make room for ``missing`` tasks."""
+        """Choose just enough tasks to stop to make room for ``missing`` tasks of a job.
+
+        The chosen tasks are less urgent, or their teams exceed their guarantees.
+        """
         borrowers = borrowing_teams(self._cluster, job)
-        # If a guarantee may make room for this job or a later one, what this job waits
-        # for must be promised to it even if it stops nothing.
+        # If a guarantee may make room for this job or a later one, capacity that stopping
+        # tasks will free must be promised to this job even if it stops no task itself.
         if (
             not guarantees_apply(self._cluster, job)
             and self._least_urgent_rank(job.spec.gpus > 0) <= job.rank
         ):
             return []
-        # Two jobs may stop the same tasks if all of this is equal.
+        # Jobs with the same key may stop the same tasks.
         key = (job.rank, job.gang, frozenset(borrowers), *self._machines.placement_key(job))
         if self._cannot_succeed(job, key, missing):
             return []
         if job.gang:
             victims = self._gangs.victims(job, missing, borrowers)
             if victims is None and not job.avoided_machines:
-                self._failed.add(key, job.spec, missing)
+                self._failures.add(key, job.spec, missing)
             return victims or []
         useful = self._useful_machines(job, borrowers)
         machines = self._machines.in_first_fit_order(job, useful)
         made, chosen = self._make_room_on_each(job, machines, missing, missing, borrowers)
         if made < missing and not job.spec.spread and not job.avoided_machines:
-            self._failed.add(key, job.spec)
+            self._failures.add(key, job.spec)
         return chosen
 
     def make_room_on(
         self, job: Job, machines: list[Machine], missing: int
     ) -> tuple[int, list[TaskRun]]:
-        """Make room for one replica on each of some machines, up to ``missing`` of them.
+        """Make room for up to ``missing`` replicas of a job, one per machine.
 
-        Returns for how many there is room, and which tasks stop for it.
+        Returns for how many replicas room is made, and the tasks that stop for it.
         """
         if self._cluster.max_rank_on_machines() <= job.rank:
             return 0, []
@@ -79,11 +82,14 @@
         return self._make_room_on_each(job, useful, missing, 1, set())
 
     def _least_urgent_rank(self, with_gpus: bool) -> int:
-        """A rank such that no task that could be stopped is less urgent."""
+        """Return an upper bound on the rank of the tasks that can be stopped.
+
+        With ``with_gpus``: of those whose stop could help a job with GPUs.
+        """
         if not with_gpus:
             return self._cluster.max_rank_on_machines()
-        if self._least_urgent_beside_gpus is None:
-            self._least_urgent_beside_gpus = max(
+        if self._least_urgent_rank_for_gpus is None:
+            self._least_urgent_rank_for_gpus = max(
                 (
                     run.rank
                     for machine in self._machines.gpu_machines()
@@ -94,17 +100,19 @@
                 ),
                 default=-1,
             )
-        return self._least_urgent_beside_gpus
+        return self._least_urgent_rank_for_gpus
 
     def _cannot_succeed(self, job: Job, key: tuple[object, ...], missing: int) -> bool:
-        """Whether no stops made room for work as urgent that needs no more."""
-        return self._failed.covers(key, job.spec, missing if job.gang else 1)
+        """Return whether preemption already failed for a job as urgent that needs no more."""
+        return self._failures.covers(key, job.spec, missing if job.gang else 1)
 
     @staticmethod
     def _may_free_capacity(capacity: FreeableCapacity, job: Job) -> bool:
+        """Return whether a machine has a stopping task or one less urgent than the job."""
         return capacity.stopping or capacity.least_urgent_rank > job.rank
 
     def _useful_machines(self, job: Job, borrowers: set[int]) -> list[Machine]:
+        """Return the machines that the job may use and on which room may be made for it."""
         useful: list[Machine] = []
         for machine in self._machines.allowed(job):
             capacity = self._capacities.of(machine)
@@ -120,21 +128,24 @@
         max_per_machine: int,
         borrowers: set[int],
     ) -> tuple[int, list[TaskRun]]:
-        """Make room machine by machine until it suffices for ``missing`` tasks."""
-        per_zone = spread_allowance_per_zone(self._cluster, job)
+        """Make room machine by machine until ``missing`` tasks of the job fit.
+
+        Returns how many of them fit, and the tasks that stop for it.
+        """
+        zone_allowance = spread_allowance_per_zone(self._cluster, job)
         made = 0
         chosen: list[TaskRun] = []
         for machine in machines:
             max_tasks = min(max_per_machine, missing - made)
-            if per_zone is not None:
-                max_tasks = min(max_tasks, per_zone[machine.zone])
+            if zone_allowance is not None:
+                max_tasks = min(max_tasks, zone_allowance[machine.zone])
             if max_tasks <= 0:
                 continue
-            found, stopped = self._make_room(job, machine, max_tasks, borrowers)
+            fitting, stopped = self._make_room(job, machine, max_tasks, borrowers)
             chosen += stopped
-            made += found
-            if per_zone is not None:
-                per_zone[machine.zone] -= found
+            made += fitting
+            if zone_allowance is not None:
+                zone_allowance[machine.zone] -= fitting
             if made >= missing:
                 break
         return made, chosen
@@ -142,10 +153,14 @@
     def _make_room(
         self, job: Job, machine: Machine, max_tasks: int, borrowers: set[int]
     ) -> tuple[int, list[TaskRun]]:
-        """Make room for up to ``max_tasks`` tasks on one machine."""
+        """Make room for up to ``max_tasks`` tasks of the job on one machine.
+
+        Returns how many of them fit, and the tasks that stop for it.
+        """
         capacity = self._capacities.of(machine)
         stoppable = [run for run in capacity.runs if may_preempt(job, run, borrowers)]
-        # Of the least urgent work, what loses least; if equal, what is late anyway.
+        # The least urgent tasks first, then those that lose the least run time, then those
+        # of jobs that miss the most objectives anyway.
         now, missed_objectives = self._now, self._urgency.missed_objectives
         stoppable.sort(
             key=lambda run: (-run.rank, lost_work_s(run, now), -missed_objectives(run.job))
@@ -156,7 +171,7 @@
             if capacity.promise(job):
                 made += 1
                 continue
-            victims = _enough_for_one(job, capacity, stoppable)
+            victims = _victims_for_one_task(job, capacity, stoppable)
             if victims is None:
                 break
             for run in victims:
@@ -166,10 +181,13 @@
         return made, stopped
 
 
-def _enough_for_one(
+def _victims_for_one_task(
     job: Job, capacity: FreeableCapacity, runs: list[TaskRun]
 ) -> list[TaskRun] | None:
-    """The first tasks whose stop makes room for one more; None: nothing stops for less."""
+    """Return the first of ``runs`` whose stop makes room for one task of the job.
+
+    None if stopping all of them does not suffice.
+    """
     after = FreeableCapacity(capacity.cpus, capacity.gpus, capacity.memory_gb)
     for count, run in enumerate(runs, start=1):
         after.add(run.job)
--- a/appleshift/placement/quota.py
+++ b/appleshift/placement/quota.py
@@ -1,4 +1,4 @@
-"""Guaranteed quotas of teams, and who runs beyond them."""
+"""Guaranteed quotas of teams, and the teams that exceed them."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def within_guarantee(cluster: ClusterState, job: Job) -> bool:
-    """Whether the next task of a job, or its whole gang, stays within its team's guarantee.
+    """Return whether a job's next task, or its whole gang, stays within its team's guarantee.
 
-    GPU work is counted by its GPUs alone. A team without a CPU guarantee borrows all CPUs.
+    Only the GPUs count for jobs with GPUs. A team without a CPU guarantee borrows all CPUs.
     """
     team = cluster.teams[job.team]
     spec = job.spec
@@ -21,9 +21,10 @@
 
 
 def borrowing_teams(cluster: ClusterState, job: Job) -> set[int]:
-    """Teams, by index, that run beyond their guarantee what this job's team is owed.
+    """Return the indexes of other teams that exceed their guarantee of what the job needs.
 
-    Empty if the job itself would go beyond its team's guarantee.
+    The set is empty if the job itself would exceed its team's guarantee. GPUs are compared
+    for jobs with GPUs, otherwise CPUs.
     """
     if not within_guarantee(cluster, job):
         return set()
@@ -41,7 +42,7 @@
 
 
 def guarantees_apply(cluster: ClusterState, job: Job) -> bool:
-    """Whether a guarantee might make room for this job or for a later one like it."""
+    """Return whether a guarantee may entitle this job or a similar later one to preempt."""
     if job.spec.gpus > 0:
         return len(cluster.teams) > 1
     return any(team.limits.cpus > 0 for team in cluster.teams)
--- a/appleshift/placement/result.py
+++ b/appleshift/placement/result.py
@@ -1,4 +1,4 @@
-"""What a placement pass decided."""
+"""Decisions of a placement pass."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Tasks of one job that go to one machine."""
+    """Assignment of tasks of one job to one machine."""
 
     job: Job
     machine: Machine
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Shortage:
-    """Tasks of one job that found no machine in this pass."""
+    """Number of tasks of one job that found no machine in this pass."""
 
     job: Job
     tasks: int
@@ -27,11 +27,11 @@
 
 @dataclass(slots=True)
 class PlacementResult:
-    """All decisions of one pass, in the order in which they were made."""
+    """All decisions of one placement pass, in the order in which they were made."""
 
     placements: list[Placement] = field(default_factory=list)
     shortages: list[Shortage] = field(default_factory=list)
     preempted: list[TaskRun] = field(default_factory=list)
     """Tasks to stop; each has its ``stop_grace_s`` set."""
     replicas_waiting_for_preemption: int = 0
-    """Replicas for which room is being made on a machine with their image."""
+    """Number of replicas that wait for preempted tasks to free a machine with their image."""
--- a/appleshift/placement/task_placement.py
+++ b/appleshift/placement/task_placement.py
@@ -1,4 +1,4 @@
-"""Places arrays and services: as many of their tasks as find room."""
+"""Places arrays and services, whose tasks may start independently of each other."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TaskPlacer:
-    """Places tasks that may start one by one, in one placement pass."""
+    """Places tasks of arrays and services in one placement pass."""
 
     def __init__(self, placement_pass: PlacementPass) -> None:
         """Place in ``placement_pass``."""
@@ -17,30 +17,30 @@
         self._replicas = ReplicaPlacer(placement_pass)
 
     def place(self, job: Job, max_tasks: int | None = None) -> int:
-        """Place what fits of a job, up to ``max_tasks`` tasks; returns how many found no room.
+        """Place up to ``max_tasks`` tasks of a job; returns how many found no room.
 
-        Tasks that wait for their team's limit or for counted resources are not among
-        these: no machine could help them.
+        Tasks that wait for their team's limit or for counted resources are not counted:
+        no machine could help them.
         """
         if not self._within_team_limits(job):
             return 0
-        allowed = self._pass.limit_by_counted_resources(job)
+        task_limit = self._pass.limit_by_counted_resources(job)
         if max_tasks is not None:
-            allowed = min(allowed, max_tasks)
-        if not allowed:
+            task_limit = min(task_limit, max_tasks)
+        if not task_limit:
             return 0
-        eligible = self._pass.machines
-        machines = [] if eligible.cannot_fit(job) else eligible.with_room(job)
-        beside_gpus = self._pass.spare_gpu_machine_capacity.machines_for(job)
-        if not machines and not beside_gpus:
+        eligible_machines = self._pass.machines
+        machines = [] if eligible_machines.cannot_fit(job) else eligible_machines.with_room(job)
+        spare_gpu_machines = self._pass.spare_gpu_machine_capacity.machines_for(job)
+        if not machines and not spare_gpu_machines:
             self._pass.record_no_machine(job)
-            return allowed
-        tasks = sorted(job.pending)[:allowed]
+            return task_limit
+        tasks = sorted(job.pending)[:task_limit]
         waiting = 0
         if job.service:
             placed, waiting = self._replicas.place(job, machines, tasks)
         else:
-            placed = self._place_array(job, machines, beside_gpus, tasks)
+            placed = self._place_array(job, machines, spare_gpu_machines, tasks)
         missing = len(tasks) - waiting - placed
         if not missing or not self._within_team_limits(job):
             return 0
@@ -49,20 +49,24 @@
         return missing
 
     def _place_array(
-        self, job: Job, machines: list[Machine], beside_gpus: list[Machine], tasks: list[int]
+        self, job: Job, machines: list[Machine], spare_gpu_machines: list[Machine], tasks: list[int]
     ) -> int:
-        """Fill machines, and then what GPU work leaves of others."""
+        """Place tasks on ``machines``, then in spare capacity of GPU machines.
+
+        Returns how many tasks were placed.
+        """
         placed = place_round(self._pass, job, machines, tasks, free_tasks_that_fit)
-        if placed < len(tasks) and beside_gpus:
+        if placed < len(tasks) and spare_gpu_machines:
             placed += place_round(
                 self._pass,
                 job,
-                beside_gpus,
+                spare_gpu_machines,
                 tasks[placed:],
                 self._pass.spare_gpu_machine_capacity.tasks_that_fit,
             )
         return placed
 
     def _within_team_limits(self, job: Job) -> bool:
+        """Return whether one more task of the job stays within its team's limits."""
         team = self._pass.cluster.teams[job.team]
         return team.within_limits(job.spec.cpus, job.spec.gpus)
--- a/appleshift/placement/task_round.py
+++ b/appleshift/placement/task_round.py
@@ -1,4 +1,4 @@
-"""One round over machines that places tasks of an array or a service."""
+"""Placement of tasks of an array or a service in one round over machines."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
     tasks: list[int],
     fit: Callable[[Machine, Job], int],
 ) -> int:
-    """Go over the machines once and place the first tasks; returns how many found room.
+    """Place tasks on the machines, visiting each once; returns how many were placed.
 
-    ``fit`` says how many tasks of the job fit on a machine. A machine gets one replica
-    at most in a round: replicas go to different machines where there is a choice.
+    ``fit`` returns how many tasks of the job fit on a machine. A machine gets at most one
+    replica of a service per round, so that replicas go to different machines if possible.
     """
     cluster = placement_pass.cluster
     spec = job.spec
     team = cluster.teams[job.team]
-    per_zone = spread_allowance_per_zone(cluster, job)
+    zone_allowance = spread_allowance_per_zone(cluster, job)
     zone = _zone_in_use(job) if spec.together else -1
     attempt = job.last_attempt + 1
-    if per_zone is not None:
-        machines = _emptiest_zone_first(machines, per_zone)
+    if zone_allowance is not None:
+        machines = _largest_allowance_first(machines, zone_allowance)
     placed = 0
     for machine in machines:
         if placed == len(tasks):
@@ -40,31 +40,36 @@
         max_tasks = min(fit(machine, job), len(tasks) - placed)
         if job.service:
             max_tasks = min(max_tasks, 1)
-        if per_zone is not None:
-            max_tasks = min(max_tasks, per_zone[machine.zone])
+        if zone_allowance is not None:
+            max_tasks = min(max_tasks, zone_allowance[machine.zone])
         count = _count_within_limits(team, spec, max_tasks)
         if not count:
             continue
         zone = machine.zone
-        if per_zone is not None:
-            per_zone[zone] -= count
+        if zone_allowance is not None:
+            zone_allowance[zone] -= count
         placement_pass.assign(job, machine, attempt, tasks[placed : placed + count])
         placed += count
     return placed
 
 
 def _zone_in_use(job: Job) -> int:
-    """The zone in which the job's tasks run; -1 if none does."""
+    """Return the zone of one of the job's tasks on machines; -1 without any."""
     return next((run.machine.zone for run in job.runs.values()), -1)
 
 
-def _emptiest_zone_first(machines: list[Machine], per_zone: dict[int, int]) -> list[Machine]:
-    """Even out a spread job over its zones, so that the loss of one costs least."""
-    return sorted(machines, key=lambda machine: -per_zone[machine.zone])
+def _largest_allowance_first(
+    machines: list[Machine], zone_allowance: dict[int, int]
+) -> list[Machine]:
+    """Sort machines by zone, first the zone in which a spread job may run the most further tasks.
+
+    An even distribution limits the damage when a zone is lost.
+    """
+    return sorted(machines, key=lambda machine: -zone_allowance[machine.zone])
 
 
 def _count_within_limits(team: Team, spec: Submission, max_tasks: int) -> int:
-    """How many tasks, up to ``max_tasks``, the team may still run within its limits."""
+    """Return how many more tasks, up to ``max_tasks``, fit into the team's limits."""
     count = 0
     while count < max_tasks and team.within_limits(
         spec.cpus * (count + 1), spec.gpus * (count + 1)
--- a/appleshift/placement/urgency.py
+++ b/appleshift/placement/urgency.py
@@ -1,4 +1,4 @@
-"""The order in which pending jobs are placed, and which gangs may reserve machines."""
+"""Determines the placement order of pending jobs and which gangs may reserve machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UrgencyOrder:
-    """Orders the pending jobs of one placement pass."""
+    """Orders the pending jobs of one placement pass by urgency."""
 
     def __init__(
         self,
@@ -27,18 +27,18 @@
         self._wall = wall
         self._objectives = objectives
         self._counted_resources = counted_resources
-        # Tasks of waiting gangs that can still be in time.
-        self._punctual_gang_tasks = 0
+        # Number of tasks of waiting gangs that would miss no objective if they started now.
+        self._on_time_gang_tasks = 0
         self._missed_objectives: dict[int, int] = {}
 
     def pending_jobs(self) -> list[Job]:
-        """Open jobs with pending tasks, most urgent first."""
+        """Return the open jobs with pending tasks, most urgent first."""
         jobs = [
             job
             for job in self._cluster.jobs.values()
             if job.pending and job.status == OPEN and job.accepted and job.not_before <= self._now
         ]
-        self._punctual_gang_tasks = sum(
+        self._on_time_gang_tasks = sum(
             len(job.pending)
             for job in jobs
             if job.gang and not job.runs and not self.missed_objectives(job)
@@ -46,11 +46,11 @@
         return sorted(jobs, key=self._urgency)
 
     def age_s(self, job: Job) -> float:
-        """Time in seconds since the job was submitted."""
+        """Return the time in seconds since the job was submitted."""
         return self._wall - job.submitted
 
     def missed_objectives(self, job: Job) -> int:
-        """How many of its objectives a job misses of which a task starts now."""
+        """Return how many objectives a job misses if a task of it starts now; 0 for services."""
         if job.service:
             return 0
         missed = self._missed_objectives.get(job.index)
@@ -61,28 +61,29 @@
         return missed
 
     def should_reserve(self, job: Job) -> bool:
-        """Whether it is this gang's turn to keep the machines that fall free."""
+        """Return whether a gang may reserve machines that become free."""
         age = self.age_s(job)
         if not self._objectives.should_reserve(job, age):
             return False
         if age >= RESERVE_ALWAYS_AFTER_S:
             return True
-        # With more work than room, what is kept for one gang makes several late.
-        other_tasks = self._punctual_gang_tasks
+        # Under overload, machines reserved for one gang would make several other gangs late.
+        other_tasks = self._on_time_gang_tasks
         if not self.missed_objectives(job):
             other_tasks -= len(job.pending)
         return other_tasks < len(job.pending)
 
     def _urgency(self, job: Job) -> tuple[int, bool, bool, bool, int, float, float]:
-        """The sort key of a job; the smallest is placed first.
+        """Return the sort key of a job; the job with the smallest key is placed first.
 
-        Within a priority: what can still be in time, and of that the least work;
-        last best-effort work.
+        Within a priority, jobs that stay within guarantees come first and best-effort jobs
+        last. Otherwise jobs that miss the fewest objectives come first, and among those
+        the jobs with the least work.
 
-        When there is more work than room, some jobs are late in any order; the least
-        work first keeps their number down. A team whose jobs are the largest would be
-        late each time: once far too few of its jobs met their objectives, those of it
-        that can still be in time go first.
+        Under overload some jobs are late in any order; placing the least work first
+        minimizes their number, but a team with the largest jobs would always be late.
+        Therefore jobs of a team in ``teams_behind`` that can still meet all objectives
+        come first.
         """
         spec = job.spec
         borrows = self._borrows(job)
@@ -95,13 +96,14 @@
         if job.gang and self.should_reserve(job):
             work = 0.0
             if self.age_s(job) >= RESERVE_ALWAYS_AFTER_S:
-                # Otherwise it would stay late for good: new small gangs are never all in time.
+                # Otherwise new small gangs, some of which can always still be in time, would delay
+                # this gang forever.
                 missed, team_first = 0, True
         best_effort = self._objectives.is_best_effort(job)
         return (job.rank, borrows, best_effort, not team_first, missed, work, job.submitted)
 
     def _borrows(self, job: Job) -> bool:
-        """Whether the next task takes GPUs or counted resources beyond a guarantee."""
+        """Return whether the job's next task exceeds a guarantee of GPUs or counted resources."""
         borrows = job.spec.gpus > 0 and not within_guarantee(self._cluster, job)
         if job.counted_needs and self._counted_resources is not None:
             borrows = borrows or self._counted_resources.would_borrow(job)
