--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -28,7 +28,7 @@
         self.placement_failures = PlacementFailures()
         for machine in cluster.machines.values():
             if (
-                machine.last_heard >= min_last_heartbeat
+                machine.last_contact_at >= min_last_heartbeat
                 and machine.avoid_until <= now
                 and machine.schedulable()
             ):
--- a/appleshift/placement/spare_gpu_machine_capacity.py
+++ b/appleshift/placement/spare_gpu_machine_capacity.py
@@ -66,12 +66,12 @@
     def _compute_spare(self) -> dict[int, tuple[float, float]]:
         """Compute the spare CPUs and memory (GB) of GPU machines, by machine index."""
         free = {}
-        unclaimed = self._cluster.spot_gpus_unclaimed()
+        unclaimed = self._cluster.gpu_jobs_exclude_spot()
         for (type_index, _, _), machines in self._machines.pools.items():
             gpus = self._cluster.types[type_index].gpus
             if gpus <= 0:
                 continue
-            spare_capacity = self._cluster.left_beside_gpus(type_index)
+            spare_capacity = self._cluster.resources_unneeded_by_gpu_jobs(type_index)
             for machine in machines:
                 if machine.spot and unclaimed:
                     free[machine.index] = (machine.free_cpus, machine.free_memory)
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -102,7 +102,10 @@
         """Learn of the map once there is one, and whenever a peer has a newer."""
         while not self.context.stop.is_set():
             try:
-                if self.shard_map is None or self._peer_monitor.shard_map_version > self.version:
+                if (
+                    self.shard_map is None
+                    or self._peer_monitor.newest_shard_map_version > self.version
+                ):
                     self._install_map(*self._read_map())
             except (StoreError, ProtocolError) as error:
                 log.debug("reading the shard map failed error=%s", error)
@@ -161,7 +164,7 @@
             if not leaving or leaving & self._shards_with_work(replayer, leaving):
                 self._install_map(value, version)
                 return
-        kinds = replayer.cluster.types or self.context.cloud.machine_types()
+        kinds = replayer.cluster.types or self.context.cloud_calls.machine_types()
         cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
         teams = self.context.settings.deployment.teams
         epochs: list[ShardMapEpoch] = [] if value is None else value.epochs
@@ -186,7 +189,7 @@
         """Put the map in the place of that version; returns its own."""
         value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
-            kv.guard(self._replicas[0].election.key, term.key_version),
+            kv.guard(self._replicas[0].election.leader_key, term.leader_key_version),
             kv.guard(SHARD_MAP_KEY, version),
         ]
         put = kv.put(SHARD_MAP_KEY, msgspec.to_builtins(value))
@@ -222,7 +225,7 @@
         held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
         found = [ControllerLoad(name, held, now - self._began)]
         for peer in self.context.peer_clients:
-            at, status = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
+            at, status = self._peer_monitor.last_statuses.get(peer, (float("-inf"), None))
             if status is not None and now - at < PEER_STATUS_VALID_S and status.shard_map_version:
                 count = len(status.held_shards) + status.leading
                 since = self._peer_monitor.reachable_since.get(peer, now)
@@ -236,7 +239,7 @@
         if self._replicas[0].lease.may_answer(now):
             return self._move
         best: tuple[int, peers.PeerStatus] | None = None
-        for at, status in list(self._peer_monitor.last_status.values()):
+        for at, status in list(self._peer_monitor.last_statuses.values()):
             if (
                 status.entitled
                 and now - at < PEER_STATUS_VALID_S
@@ -261,7 +264,7 @@
                 return 0.0
             ahead = any(each.name == move[1] for each in controllers)
         # Who held it is gone, though what it said of itself is not old yet.
-        former = self._replicas[shard].election.last_holder
+        former = self._replicas[shard].election.last_leader_from_store
         there = [each for each in controllers if each.name == name or each.name != former]
         rank = shard_assigner.candidates(shard, there).index(name)
         starting = now - self._began < GATHERING_S
@@ -293,7 +296,7 @@
             replica = self._replicas.get(move[0])
             there = any(each.name == move[1] for each in self.controllers(now))
             if replica is not None and replica.lease.may_write(now) and there:
-                replica.hand_over()
+                replica.start_hand_over()
 
     def _set_max_machines(self, shares: int) -> None:
         """How many machines may be rented: so many that each node hears its part.
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -18,11 +18,11 @@
 from appleshift.state.states import DELETED
 from appleshift.state.teams import Team
 
-CLASS_RATIO_WEIGHT = 0.02
+RUN_TIME_RATIO_WEIGHT = 0.02
 """Weight of one finished task in the average run ratio of its job class."""
-PRIOR_WEIGHT = 3.0
+ESTIMATE_WEIGHT_TASKS = 3.0
 """The corrected estimate weighs as much as this many finished tasks of the job."""
-MAX_RUN_RATIO = 10.0
+MAX_RUN_TIME_RATIO = 10.0
 """A single task counts at most this many times its estimate."""
 
 
@@ -73,14 +73,14 @@
         # How many tasks of each rank may be on machines.
         self._runs_by_rank = [0] * len(RANKS)
         # By job class: the ratio of tasks' run time to their estimate, a moving average.
-        self.run_ratios: dict[str, float] = {}
+        self.run_time_ratios: dict[str, float] = {}
         # The most CPUs and memory (GB) that a job with GPUs needed for one GPU.
         self.needs_per_gpu: tuple[float, float] | None = None
         # Whether any job with GPUs may use spot machines.
         self._gpu_jobs_on_spot = False
         self.counted_resources: CountedResourceTracker | None = None
 
-    def set_types(self, types: list[MachineType]) -> bool:
+    def update_machine_types(self, types: list[MachineType]) -> bool:
         """Add machine types or update their prices; return whether any type is new."""
         any_new = False
         for machine_type in types:
@@ -209,11 +209,13 @@
         """Correct the estimates of a job's class by the run time of a finished task."""
         if job.spec.estimate_s <= 0:
             return
-        ratio = min(MAX_RUN_RATIO, seconds / job.spec.estimate_s)
-        average = self.run_ratios.get(job.spec.job_class, 1.0)
-        self.run_ratios[job.spec.job_class] = average + (ratio - average) * CLASS_RATIO_WEIGHT
+        ratio = min(MAX_RUN_TIME_RATIO, seconds / job.spec.estimate_s)
+        average = self.run_time_ratios.get(job.spec.job_class, 1.0)
+        self.run_time_ratios[job.spec.job_class] = (
+            average + (ratio - average) * RUN_TIME_RATIO_WEIGHT
+        )
 
-    def left_beside_gpus(self, type_index: int) -> tuple[float, float]:
+    def resources_unneeded_by_gpu_jobs(self, type_index: int) -> tuple[float, float]:
         """Return CPUs and memory (GB) of a machine that jobs with GPUs will not need."""
         machine_type = self.types[type_index]
         if self.needs_per_gpu is None:
@@ -224,7 +226,7 @@
             machine_type.memory_gb - memory * machine_type.gpus,
         )
 
-    def spot_gpus_unclaimed(self) -> bool:
+    def gpu_jobs_exclude_spot(self) -> bool:
         """Return whether there were jobs with GPUs, and none that may use spot machines."""
         return self.needs_per_gpu is not None and not self._gpu_jobs_on_spot
 
@@ -234,23 +236,23 @@
         The user's estimate is corrected by the run times of the job's class, then by
         those of the job itself, whose tasks are more alike.
         """
-        estimate = job.spec.estimate_s * self.run_ratios.get(job.spec.job_class, 1.0)
-        weight = job.completed_runs / (job.completed_runs + PRIOR_WEIGHT)
+        estimate = job.spec.estimate_s * self.run_time_ratios.get(job.spec.job_class, 1.0)
+        weight = job.completed_runs / (job.completed_runs + ESTIMATE_WEIGHT_TASKS)
         mean = job.completed_run_s / job.completed_runs if job.completed_runs else 0.0
         return estimate + (mean - estimate) * weight
 
-    def retire(self, job: Job) -> None:
+    def remove_job(self, job: Job) -> None:
         """Forget a job that is over, but for its final state."""
         self.final_states[job.key] = job.status
         self.jobs.pop(job.index, None)
         self.job_by_id.pop(job.key, None)
 
-    def drop_machine(self, machine: Machine) -> None:
+    def remove_deleted_machine(self, machine: Machine) -> None:
         """Remove a machine that is gone for good: its name is never used again."""
-        self.forget_machine(machine)
+        self.remove_machine(machine)
         self.deleted_machines.add(machine.name)
 
-    def forget_machine(self, machine: Machine) -> None:
+    def remove_machine(self, machine: Machine) -> None:
         """Remove a machine that may come back under its name."""
         machine.status = DELETED
         self.machines.pop(machine.index, None)
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from appleshift.contracts.interfaces import LeaseHolder, ShardingView
-from appleshift.leader_election.leader_term import LeaderTerm, holder_key
+from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.wire import ProtocolError
@@ -16,7 +16,7 @@
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError
 from appleshift.storage.keys import shard_prefix
-from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.records import LogReplayer, RecordConsumer
 from appleshift.storage.recovery import RecoveredLog, recover
 from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.client import ClientError
@@ -61,7 +61,7 @@
     return None
 
 
-def start_scheduler(
+def create_scheduler(
     context: NodeContext,
     lease: LeaseHolder,
     term: LeaderTerm,
@@ -96,8 +96,8 @@
     write_rps = limits.write_rps * context.operator.write_share / shards
     recovered_log = recovered.recovered_log
     write_ahead_log = WriteAheadLog(
-        leader_key=holder_key(term.shard),
-        leader_version=term.key_version,
+        leader_key=leader_key(term.shard),
+        leader_version=term.leader_key_version,
         term_id=term.term_id,
         write_rps=max(MIN_WRITE_RPS, write_rps),
         value_bytes=int(limits.value_kb * BYTES_PER_KB),
@@ -135,7 +135,7 @@
     )
 
 
-def _make_audit_log(written_entries: int) -> RecordFollower:
+def _make_audit_log(written_entries: int) -> RecordConsumer:
     """Follow the audit of counted resources from where their records begin in the log."""
     # Loaded only where resources are counted.
     from appleshift.counted_resources.audit_log import AuditLog
