--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -76,7 +76,7 @@
             self._waits(summary.shard, summary.waiting > 0)
             if summary.waiting:
                 fleet.next_review = min(fleet.next_review, scheduler.now + SUMMARY_INTERVAL_S)
-        plain = max(1, len(self._map.plain))
+        plain = max(1, len(self._map.cpu_machine_shards))
         moving = self._moving[summary.shard]
         for name, (_, since) in list(moving.items()):
             if scheduler.now - since > MOVE_S:
@@ -155,7 +155,7 @@
 
     def _lasting_shortages(self, now: float) -> dict[int, list[UnmetNeed]]:
         """Unmet needs of shards where work has waited for a while, by shard."""
-        own = unmet_needs(self._scheduler) if 0 in self._map.plain else []
+        own = unmet_needs(self._scheduler) if 0 in self._map.cpu_machine_shards else []
         self._waits(0, bool(own))
         needs = {summary.shard: summary.shortages for summary in self._fresh()}
         return {
@@ -251,7 +251,7 @@
             [sum(sums[which][size] for sums in by_share.values()) for size in range(3)]
             for which in range(2)
         )
-        plain, now = self._map.plain, self._scheduler.now
+        plain, now = self._map.cpu_machine_shards, self._scheduler.now
         for shard, sums in by_share.items():
             lacking = now - self._waiting_since.get(shard, now) > SHORTAGE_S
             if gpus or shard not in plain or not lacking:
@@ -266,7 +266,11 @@
         cluster = self._scheduler.cluster
         found = []
         for summary in self._fresh():
-            spread_by = len(self._map.plain) if summary.shard in self._map.plain else 1
+            spread_by = (
+                len(self._map.cpu_machine_shards)
+                if summary.shard in self._map.cpu_machine_shards
+                else 1
+            )
             for need in summary.unplaceable:
                 if (need.gpus > 0) != gpus:
                     continue
--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -33,7 +33,7 @@
         self.shard_count = 1 + max(max(epoch.plain + epoch.homes) for epoch in epochs)
 
     @property
-    def plain(self) -> list[int]:
+    def cpu_machine_shards(self) -> list[int]:
         """Shards that get machines without GPUs, in the newest epoch."""
         return self.epochs[-1].plain
 
@@ -43,7 +43,7 @@
         return self.epochs[-1].homes
 
     @property
-    def cards(self) -> list[str]:
+    def gpu_types(self) -> list[str]:
         """Names of machine types with GPUs, which belong to the first shard, in the newest
         epoch."""
         return self.epochs[-1].cards
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -85,7 +85,8 @@
         plain = (
             kind
             for kind in self._scheduler.cluster.types
-            if kind.name not in self._map.cards and (spec.types is None or kind.name in spec.types)
+            if kind.name not in self._map.gpu_types
+            and (spec.types is None or kind.name in spec.types)
         )
         return self.shard if any(type_fits(kind, spec) for kind in plain) else 0
 
