--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -75,7 +75,7 @@
         return epoch.plain[number % len(epoch.plain)]
 
 
-def is_pinned(team: TeamLimits) -> bool:
+def is_pinned_to_first_shard(team: TeamLimits) -> bool:
     """Is the team decided in the first shard, so that one holder counts all it uses?
 
     That holds for whatever limits it beyond machines with GPUs, which are there
@@ -96,6 +96,6 @@
     ``busy`` shards have work from before: they go on getting machines for it, or
     what runs there and loses its machine could never start again.
     """
-    first = 0 if count <= 1 or any(is_pinned(team) for team in teams) else 1
+    first = 0 if count <= 1 or any(is_pinned_to_first_shard(team) for team in teams) else 1
     homes = list(range(first, max(1, count)))
     return ShardMapEpoch(count, after, cards, sorted({*homes, *busy}), homes)
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -21,7 +21,7 @@
 from appleshift.sharding.fleet_summary import FleetSummary
 from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
-from appleshift.sharding.shard_map import ShardMap, is_pinned
+from appleshift.sharding.shard_map import ShardMap, is_pinned_to_first_shard
 from appleshift.sharding.shard_reporter import ShardReporter
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import type_fits
@@ -43,7 +43,7 @@
         self.shard = number
         self.shard_count = known.shard_count
         self._map = known
-        self._pinned = {team.name for team in teams if is_pinned(team)}
+        self._pinned = {team.name for team in teams if is_pinned_to_first_shard(team)}
         self._scheduler: ShardScheduler
         self._partitions: ArrayPartitions
         self._transfer: MachineTransfer
