--- a/appleshift/sharding/shard_assigner.py
+++ b/appleshift/sharding/shard_assigner.py
@@ -29,9 +29,9 @@
     name: str
     held_shards: int
     """Number of shards that it leads."""
-    since_s: float
+    reachable_s: float
     """Seconds for which it has been reachable without a gap."""
-    crowded: bool = False
+    is_full: bool = False
     """It cannot take another shard."""
 
 
@@ -44,7 +44,7 @@
     names = sorted(each.name for each in controllers)
     by_name = {each.name: each for each in controllers}
     rotation = [names[(shard + step) % len(names)] for step in range(len(names))]
-    return sorted(rotation, key=lambda name: (by_name[name].crowded, by_name[name].held_shards))
+    return sorted(rotation, key=lambda name: (by_name[name].is_full, by_name[name].held_shards))
 
 
 class ShardAssigner:
@@ -91,7 +91,7 @@
             if holder in count:
                 count[holder] += 1
         targets = [
-            each.name for each in controllers if each.since_s >= SETTLED_S and not each.crowded
+            each.name for each in controllers if each.reachable_s >= SETTLED_S and not each.is_full
         ]
         if not targets:
             return None
