--- a/appleshift/sharding/shard_assigner.py
+++ b/appleshift/sharding/shard_assigner.py
@@ -14,11 +14,11 @@
 """Seconds that each next candidate for a shard waits longer than the one before it."""
 STARTUP_CANDIDACY_STEP_S = 1.0
 """The same while nodes may still be starting and reading the shard map."""
-SETTLED_S = 8.0
+MIN_REACHABLE_S = 8.0
 """Seconds that a restarted controller must stay up before shards move to it."""
-MOVE_GAP_S = 5.0
+MIN_MOVE_INTERVAL_S = 5.0
 """Seconds between two moves; only one shard moves at a time."""
-PATIENCE_S = 4.0
+MOVE_TIMEOUT_S = 4.0
 """Seconds after which a move that was not made is abandoned."""
 
 
@@ -55,12 +55,12 @@
     """
 
     def __init__(self, now: float) -> None:
-        """``now`` in seconds of the steady clock; the first move is asked for ``SETTLED_S``
+        """``now`` in seconds of the steady clock; the first move is asked for ``MIN_REACHABLE_S``
         later."""
-        self.moves = 0
+        self.move_count = 0
         self._wanted_move: tuple[int, str] | None = None
         self._since = now
-        self._next = now + SETTLED_S
+        self._next = now + MIN_REACHABLE_S
 
     def step(
         self, now: float, holders: Mapping[int, str | None], controllers: Sequence[ControllerLoad]
@@ -70,16 +70,16 @@
         if wanted is not None:
             shard, target = wanted
             there = any(each.name == target for each in controllers)
-            if holders.get(shard) == target or not there or now - self._since > PATIENCE_S:
+            if holders.get(shard) == target or not there or now - self._since > MOVE_TIMEOUT_S:
                 self._wanted_move = None
-                self._next = now + MOVE_GAP_S
+                self._next = now + MIN_MOVE_INTERVAL_S
             return self._wanted_move
         if now < self._next or any(holder is None for holder in holders.values()):
             return None
         self._wanted_move = self._choose(holders, controllers)
         if self._wanted_move is not None:
             self._since = now
-            self.moves += 1
+            self.move_count += 1
         return self._wanted_move
 
     @staticmethod
@@ -91,7 +91,9 @@
             if holder in count:
                 count[holder] += 1
         targets = [
-            each.name for each in controllers if each.reachable_s >= SETTLED_S and not each.is_full
+            each.name
+            for each in controllers
+            if each.reachable_s >= MIN_REACHABLE_S and not each.is_full
         ]
         if not targets:
             return None
