--- a/appleshift/sharding/shard_assigner.py
+++ b/appleshift/sharding/shard_assigner.py
@@ -35,7 +35,7 @@
     """It cannot take another shard."""
 
 
-def candidates(shard: int, controllers: Sequence[ControllerLoad]) -> list[str]:
+def rank_candidates(shard: int, controllers: Sequence[ControllerLoad]) -> list[str]:
     """The controllers that may become candidates for a shard without a leader, in this order.
 
     The least loaded first. Ties are broken by a rotation that starts at another controller
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -263,7 +263,7 @@
         # Who held it is gone, though what it said of itself is not old yet.
         former = self._replicas[shard].election.last_holder
         there = [each for each in controllers if each.name == name or each.name != former]
-        rank = shard_assigner.candidates(shard, there).index(name)
+        rank = shard_assigner.rank_candidates(shard, there).index(name)
         starting = now - self._began < GATHERING_S
         return (rank + ahead) * (
             shard_assigner.STARTUP_CANDIDACY_STEP_S if starting else shard_assigner.CANDIDACY_STEP_S
