--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -216,7 +216,7 @@
 
     # -- who holds what ------------------------------------------------------------------
 
-    def controllers(self, now: float) -> list[ControllerLoad]:
+    def reachable_controllers(self, now: float) -> list[ControllerLoad]:
         """Who is there, this node included."""
         name = self.context.settings.name
         held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
@@ -253,7 +253,7 @@
         """How long others go first in standing for a shard that is free."""
         now = self._now()
         name = self.context.settings.name
-        controllers = self.controllers(now)
+        controllers = self.reachable_controllers(now)
         move = self.wanted_move(now)
         ahead = 0
         if move is not None and move[0] == shard:
@@ -282,7 +282,7 @@
                 for shard, replica in [*self._replicas.items()]
             }
             self._set_max_machines(len(holders))
-            move = self._assigner.step(now, holders, self.controllers(now))
+            move = self._assigner.step(now, holders, self.reachable_controllers(now))
             if move is not None and move != self._move:
                 log.info("moving shard shard=%d from=%s to=%s", move[0], holders[move[0]], move[1])
             self._move = move
@@ -291,7 +291,7 @@
         move = self.wanted_move(now)
         if move is not None and move[1] != self.context.settings.name:
             replica = self._replicas.get(move[0])
-            there = any(each.name == move[1] for each in self.controllers(now))
+            there = any(each.name == move[1] for each in self.reachable_controllers(now))
             if replica is not None and replica.lease.may_write(now) and there:
                 replica.hand_over()
 
