--- a/appleshift/sharding/__init__.py
+++ b/appleshift/sharding/__init__.py
@@ -1,1 +1,1 @@
-"""Machines and jobs divided into shards, each with a leader of its own."""
+"""Divides machines and jobs into shards; each shard has its own leader."""
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -1,11 +1,12 @@
-"""Large arrays, divided between shards.
-
-Which tasks go where is durable at home before anyone hears of it, and each shard that
-gets some writes them down before it says so; from then on they are its own. The home
-asks, again and again, until all is done; every message may be lost, late or repeated.
-What is cancelled leaves a final state behind even where its partition has not come yet,
-so that a partition that arrives afterwards starts nothing; and the user is told once all
-have said so.
+"""Divides large arrays into partitions that run in several shards.
+
+The home shard of a job accepted it from the user. The division into partitions is durable
+there before any other shard receives a partition. The receiving shard records a partition
+before it confirms, and from then on decides on its tasks. The home shard requests the status
+of each partition until all its tasks are done; any message may be lost, late or repeated.
+If a job is cancelled, each shard records a final state for its partition, even if the
+partition has not arrived yet, so that a partition that arrives later starts nothing. The user
+is answered once all shards have confirmed.
 """
 
 from __future__ import annotations
@@ -24,86 +25,93 @@
 from appleshift.storage.records import Record
 
 MIN_TASKS_PER_SHARD = 24
-"""Arrays of so many tasks for each shard are divided: of smaller ones each shard
-would fetch the image for a handful."""
+"""Least number of tasks per shard for which an array is divided: with fewer, each shard would
+fetch the image for only a few tasks."""
 MAX_PARTITIONS_PER_CALL = 40
+"""Most partitions offered to a shard in one request."""
 
 
 class ArrayPartitions:
-    """Of one term of a shard, as a home and as one that runs what others sent."""
+    """The divided jobs of a shard in one term, and its partitions of other shards' jobs."""
 
     def __init__(
         self,
         scheduler: ShardScheduler,
-        number: int,
+        shard: int,
         submission_shards: list[int],
         poll_now: Callable[[int], None],
     ) -> None:
-        """``poll_now`` asks a shard for its partitions' progress without waiting for the
+        """``poll_now`` lets the next request to a shard be sent without waiting for the
         interval."""
         self._scheduler = scheduler
-        self._shard = number
+        self._shard = shard
         self._submission_shards = submission_shards
-        # That shard is to be asked at once.
         self._poll_now = poll_now
-        # As a home: jobs with tasks away, by id; (id, share) that took their partition,
-        # that ended it, and how many tasks ran there; who waits for a cancellation.
-        self._divided: dict[str, Job] = {
+        # At the home shard: jobs with tasks in other shards, by id.
+        self._divided_jobs: dict[str, Job] = {
             job.spec.id: job
             for job in scheduler.cluster.jobs.values()
             if job.remote_tasks or job.cancel_requested
         }
+        # Partitions, as (job id, shard), that their shard accepted.
         self._accepted: set[tuple[str, int]] = set()
+        # Partitions, as (job id, shard), of which no task will ever start there again.
         self._ended: set[tuple[str, int]] = set()
+        # Number of running tasks by partition, as last reported.
         self._running: dict[tuple[str, int], int] = {}
-        self._waiting: dict[str, list[Any]] = defaultdict(list)
-        # Of partitions here: how many tasks were done when their ranges were worked out.
-        self._ranges: dict[str, tuple[int, list[int]]] = {}
+        # Open cancellation requests of users, by job id.
+        self._cancel_replies: dict[str, list[Any]] = defaultdict(list)
+        # For partitions that run here: number of done tasks, and their ranges, by job id. The
+        # ranges are computed again when the number changes.
+        self._done_ranges: dict[str, tuple[int, list[int]]] = {}
 
     def __len__(self) -> int:
         """Number of jobs with tasks in other shards."""
-        return len(self._divided)
+        return len(self._divided_jobs)
 
-    # -- at home -------------------------------------------------------------------------
+    # -- at the home shard ---------------------------------------------------------------
 
     def partition_array(self, job: Job) -> list[Record]:
         """Divide a new array among the shards; returns the records to append, none if it stays
         whole."""
         spec, submission_shards = job.spec, self._submission_shards
-        whole = spec.shape != users.ARRAY or spec.together or spec.spread
-        if whole or self._shard not in submission_shards or len(submission_shards) < 2:
+        stays_whole = spec.shape != users.ARRAY or spec.together or spec.spread
+        if stays_whole or self._shard not in submission_shards or len(submission_shards) < 2:
             return []
         if spec.tasks < MIN_TASKS_PER_SHARD * len(submission_shards):
             return []
         count = spec.tasks // len(submission_shards)
-        others = [shard for shard in submission_shards if shard != self._shard]
-        start = spec.tasks - count * len(others)
-        job.assign_partitions([[shard, start + n * count, count] for n, shard in enumerate(others)])
-        self._divided[spec.id] = job
+        other_shards = [shard for shard in submission_shards if shard != self._shard]
+        start = spec.tasks - count * len(other_shards)
+        job.assign_partitions(
+            [[shard, start + n * count, count] for n, shard in enumerate(other_shards)]
+        )
+        self._divided_jobs[spec.id] = job
         return [records.partitions_record(job)]
 
     def cancel(self, job: Job, reply_to: Any) -> None:
-        """Cancel a job with tasks in other shards; ``reply_to`` is answered once all have ended
-        them."""
+        """Cancel a job with tasks in other shards; ``reply_to`` is answered once all of them have
+        ended their partition."""
         scheduler = self._scheduler
         if not job.cancel_requested and job.status == OPEN:
-            # From here on nothing of it starts or counts as done at home.
+            # From here on no task of the job starts or counts as done at the home shard.
             job.status = CANCELLED
             job.cancel_requested = True
             scheduler.append_records(
                 [records.cancel_requested_record(job)], lambda: self._cancel_requested(job)
             )
         scheduler.add_pending_reply(reply_to)
-        self._waiting[job.spec.id].append(reply_to)
+        self._cancel_replies[job.spec.id].append(reply_to)
 
     def _cancel_requested(self, job: Job) -> None:
         self._scheduler.stop_job(job)
         for shard, _, _ in job.partitions:
             self._poll_now(shard)
-        self._maybe_cancelled(job)
+        self._finish_cancellation(job)
 
-    def _maybe_cancelled(self, job: Job) -> None:
-        """Once no shard will ever start anything of it, the user may be told."""
+    def _finish_cancellation(self, job: Job) -> None:
+        """Record the cancellation and answer the user once no shard can start a task of the
+        job."""
         job_id = job.spec.id
         if not job.cancel_requested or job.cancel_durable:
             return
@@ -114,16 +122,16 @@
 
         def durable() -> None:
             job.cancel_durable = True
-            self._forget(job)
-            for reply_to in self._waiting.pop(job_id, ()):
+            self._remove_divided_job(job)
+            for reply_to in self._cancel_replies.pop(job_id, ()):
                 scheduler.reply_if_pending(reply_to, 200, users.state_body(job_id, users.CANCELLED))
             scheduler.job_cancelled(job)
 
         scheduler.append_records([records.cancel_record(job)], durable)
 
-    def _forget(self, job: Job) -> None:
-        """No other shard has anything of it any more that matters here."""
-        self._divided.pop(job.spec.id, None)
+    def _remove_divided_job(self, job: Job) -> None:
+        """Remove a divided job whose partitions in other shards do not matter any more."""
+        self._divided_jobs.pop(job.spec.id, None)
         for shard, _, _ in job.partitions:
             key = (job.spec.id, shard)
             self._accepted.discard(key)
@@ -131,44 +139,49 @@
             self._running.pop(key, None)
 
     def outstanding(self) -> dict[int, tuple[list[ArrayPartition], list[str], list[str]]]:
-        """By share: partitions to be taken, jobs cancelled, jobs to be told of."""
+        """By shard: partitions to accept, ids of cancelled jobs, ids of jobs whose status is
+        requested."""
         found: dict[int, tuple[list[ArrayPartition], list[str], list[str]]] = {}
-        for job_id, job in list(self._divided.items()):
+        for job_id, job in list(self._divided_jobs.items()):
             if not job.remote_tasks and job.status != CANCELLED:
-                self._forget(job)
+                self._remove_divided_job(job)
                 continue
-            # Nobody hears of partitions that are not durable yet.
+            # A partition is not sent before the division is durable.
             for shard, start, count in job.partitions if job.accepted else ():
                 key = (job_id, shard)
                 if key in self._ended or (job.status != OPEN and not job.cancel_requested):
                     continue
-                portions, called_off, wanted = found.setdefault(shard, ([], [], []))
+                partitions, cancelled, status_of = found.setdefault(shard, ([], [], []))
                 if job.cancel_requested:
-                    called_off.append(job_id)
+                    cancelled.append(job_id)
                 elif key in self._accepted:
-                    wanted.append(job_id)
-                elif len(portions) < MAX_PARTITIONS_PER_CALL:
-                    portions.append(ArrayPartition(start, count, job.submitted, job.spec))
+                    status_of.append(job_id)
+                elif len(partitions) < MAX_PARTITIONS_PER_CALL:
+                    partitions.append(ArrayPartition(start, count, job.submitted, job.spec))
         return found
 
     def status_received(self, shard: int, partition_status: PartitionStatus) -> None:
-        """Apply another shard's durable status of one partition."""
-        job = self._divided.get(partition_status.id)
+        """Apply the durable status that another shard reports for its partition of a job."""
+        job = self._divided_jobs.get(partition_status.id)
         partition = next((p for p in job.partitions if p[0] == shard), None) if job else None
         if job is None or partition is None:
             return
         key = (partition_status.id, shard)
         self._accepted.add(key)
         _, start, count = partition
-        mine = range(start, start + count)
+        partition_tasks = range(start, start + count)
         if partition_status.state == CANCELLED:
-            # Called off here or by a holder before, whose word was durable.
+            # Cancelled by this leader or by an earlier one whose request was durable.
             self._ended.add(key)
         elif job.status == OPEN:
-            told = (
-                mine if partition_status.state == FINISHED else from_ranges(partition_status.done)
+            reported_done = (
+                partition_tasks
+                if partition_status.state == FINISHED
+                else from_ranges(partition_status.done)
             )
-            done = [task for task in told if task in mine and not job.done[task]]
+            done = [
+                task for task in reported_done if task in partition_tasks and not job.done[task]
+            ]
             self._running[key] = partition_status.running
             job.remote_running = sum(
                 self._running.get((partition_status.id, other), 0) for other, _, _ in job.partitions
@@ -179,28 +192,32 @@
                 self._ended.add(key)
         elif partition_status.state == FINISHED:
             self._ended.add(key)
-        self._maybe_cancelled(job)
+        self._finish_cancellation(job)
 
-    # -- where they run ----------------------------------------------------------------
+    # -- at the shard that runs a partition --------------------------------------------
 
-    def request_received(self, ask: PartitionRequest) -> list[PartitionStatus]:
-        """Take and end what another shard says; how all that it names stands.
+    def request_received(self, request: PartitionRequest) -> list[PartitionStatus]:
+        """Accept and cancel partitions as requested; returns the status of all that are named.
 
-        What this says may not be durable yet: the answer must wait until it is.
+        The status may not be durable yet: the reply must wait until it is.
         """
         cluster = self._scheduler.cluster
-        for partition in ask.partitions:
+        for partition in request.partitions:
             key = partition_key(partition.spec.id)
             known = key in cluster.final_states or key in cluster.job_by_id
             if not known and cluster.team_names.get(partition.spec.team) >= 0:
                 self._accept(partition)
-        for job_id in ask.cancelled:
-            self._end(job_id)
-        ids = [partition.spec.id for partition in ask.partitions] + ask.cancelled + ask.status_of
+        for job_id in request.cancelled:
+            self._cancel_partition(job_id)
+        ids = (
+            [partition.spec.id for partition in request.partitions]
+            + request.cancelled
+            + request.status_of
+        )
         return [
             partition_status
             for job_id in ids
-            if (partition_status := self._status(job_id)) is not None
+            if (partition_status := self._partition_status(job_id)) is not None
         ]
 
     def _accept(self, partition: ArrayPartition) -> None:
@@ -209,9 +226,9 @@
         job = cluster.add_job(
             cluster.next_job_index, partition.spec, partition.submitted, partition=True
         )
-        mine = range(partition.start, partition.start + partition.count)
-        others = [task for task in range(partition.spec.tasks) if task not in mine]
-        for task in others:
+        partition_tasks = range(partition.start, partition.start + partition.count)
+        other_tasks = [task for task in range(partition.spec.tasks) if task not in partition_tasks]
+        for task in other_tasks:
             cluster.finish_task(job, task)
 
         def durable() -> None:
@@ -219,11 +236,11 @@
             scheduler.placement_needed = True
 
         scheduler.append_records(
-            [records.job_record(job), *records.done_records(job, others)], durable
+            [records.job_record(job), *records.done_records(job, other_tasks)], durable
         )
 
-    def _end(self, job_id: str) -> None:
-        """Nothing of this job starts here from now on, not even if it comes later."""
+    def _cancel_partition(self, job_id: str) -> None:
+        """Cancel this shard's partition of the job; if it has not arrived, it is never accepted."""
         scheduler, key = self._scheduler, partition_key(job_id)
         job = scheduler.cluster.job_by_id.get(key)
         if job is not None:
@@ -237,19 +254,19 @@
             scheduler.unsaved_final_states.append((key, CANCELLED))
             scheduler.append_records([records.final_state_record(key, CANCELLED)])
 
-    def _status(self, job_id: str) -> PartitionStatus | None:
+    def _partition_status(self, job_id: str) -> PartitionStatus | None:
         cluster, key = self._scheduler.cluster, partition_key(job_id)
         final = cluster.final_states.get(key)
         if final is not None:
-            self._ranges.pop(job_id, None)
+            self._done_ranges.pop(job_id, None)
             return PartitionStatus(job_id, final, [])
         job = cluster.job_by_id.get(key)
         if job is None:
             return None
         if job.status != OPEN:
             return PartitionStatus(job_id, job.status, [])
-        count, ranges = self._ranges.get(job_id, (-1, []))
+        count, ranges = self._done_ranges.get(job_id, (-1, []))
         if count != job.done_count:
             ranges = to_ranges([task for task in range(job.spec.tasks) if job.done[task]])
-            self._ranges[job_id] = (job.done_count, ranges)
+            self._done_ranges[job_id] = (job.done_count, ranges)
         return PartitionStatus(job_id, OPEN, ranges, job.running())
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -1,4 +1,7 @@
-"""The leader's view of all shards: their needs, their machines, and transfers between them."""
+"""The leader's summary of the needs and machines of all shards, for scaling the fleet.
+
+Also decides which idle machines move from one shard to another.
+"""
 
 from __future__ import annotations
 
@@ -25,38 +28,40 @@
 from appleshift.state.states import UP as MACHINE_UP
 
 SHORTAGE_S = 12.0
-"""Work that waited for so many seconds shows that its shard has too few machines,
-however many there are in all."""
-MOVES_AT_ONCE = 8
-"""Most machines on their way to one shard."""
-MOVE_S = 4.0
-"""Seconds after which a transfer that was not made is abandoned."""
-STALE_S = 30.0
-"""Seconds without a summary after which a shard's needs are no longer rented for."""
+"""Seconds after which waiting work shows that its shard has too few machines, even if the
+fleet has enough."""
+MAX_CONCURRENT_MOVES = 8
+"""Most machines that are moving to one shard at the same time."""
+MOVE_TIMEOUT_S = 4.0
+"""Seconds after which a transfer that has not happened is abandoned."""
+SUMMARY_VALID_S = 30.0
+"""Seconds without a summary after which no machines are rented for a shard's needs."""
 
 
 class FleetSummary:
-    """Kept by the leader of the first shard, for one term."""
+    """The latest summaries of all other shards, for one term of the first shard."""
 
     def __init__(
-        self, scheduler: ShardScheduler, known: ShardMap, transfer: MachineTransfer
+        self, scheduler: ShardScheduler, shard_map: ShardMap, transfer: MachineTransfer
     ) -> None:
-        """For one term of the first shard; ``transfer`` hands off machines of that shard."""
+        """``scheduler`` and ``transfer`` are those of the first shard."""
         self._scheduler = scheduler
-        self._map = known
+        self._map = shard_map
         self._transfer = transfer
-        # The shards' last summaries, and idle machines that they are to give back.
+        # Latest summary of each shard, and when it was received.
         self._summaries: dict[int, tuple[float, ShardSummary]] = {}
-        self._leaving: dict[int, set[str]] = defaultdict(set)
+        # Idle machines that a shard is asked to return, by shard.
+        self._to_return: dict[int, set[str]] = defaultdict(set)
+        # The shard that last reported a machine, by machine name.
         self._shard_of: dict[str, int] = {}
-        # Machines to be handed off, by the shard that has them: name -> share, since.
+        # Machines that a shard is asked to hand off, by shard: name -> (target shard, since).
         self._moving: dict[int, dict[str, tuple[int, float]]] = defaultdict(dict)
-        self._next_moves = 0.0
-        # Since when work waits in a shard without a break.
+        self._next_moves_at = 0.0
+        # Since when a shard has had waiting work without interruption.
         self._waiting_since: dict[int, float] = {}
 
     def summary_received(self, summary: ShardSummary) -> FleetPlan:
-        """Apply a shard's summary unless a newer one is known; returns the plan for that shard."""
+        """Apply a shard's summary unless a newer one was applied; returns the shard's plan."""
         scheduler = self._scheduler
         fleet, cluster = scheduler.fleet, scheduler.cluster
         last = self._summaries.get(summary.shard)
@@ -65,35 +70,35 @@
             last[1].seq,
         )
         if newer:
-            # A summary that was delayed on its way must not replace a newer one.
+            # A delayed summary must not replace a newer one.
             self._summaries[summary.shard] = (scheduler.now, summary)
             for each in summary.machines:
-                self._machine(summary.shard, each)
+                self._apply_machine_summary(summary.shard, each)
             for kind, zone in summary.evicted:
                 market = (cluster.type_names.get(kind), cluster.zones.get(zone))
                 if min(market) >= 0:
                     fleet.evict_market(market)
-            self._waits(summary.shard, summary.waiting > 0)
+            self._set_waiting(summary.shard, summary.waiting > 0)
             if summary.waiting:
                 fleet.next_review = min(fleet.next_review, scheduler.now + SUMMARY_INTERVAL_S)
         plain = max(1, len(self._map.cpu_machine_shards))
         moving = self._moving[summary.shard]
         for name, (_, since) in list(moving.items()):
-            if scheduler.now - since > MOVE_S:
+            if scheduler.now - since > MOVE_TIMEOUT_S:
                 del moving[name]
         return FleetPlan(
             scheduler.fencing_token,
             cluster.types,
-            sorted(self._leaving[summary.shard])[: cloud.MAX_DELETE],
+            sorted(self._to_return[summary.shard])[: cloud.MAX_DELETE],
             fleet.on_demand_spare.get(False, 0.0) / plain,
             [(name, shard) for name, (shard, _) in moving.items()],
         )
 
-    def _machine(self, shard: int, reported: MachineSummary) -> None:
-        cluster, leaving = self._scheduler.cluster, self._leaving[shard]
+    def _apply_machine_summary(self, shard: int, reported: MachineSummary) -> None:
+        cluster, leaving = self._scheduler.cluster, self._to_return[shard]
         machine = cluster.machine(reported.name)
         if reported.state == MOVED:
-            # The shard that accepted it reports it.
+            # From now on the shard that accepted the machine reports it.
             leaving.discard(reported.name)
             if machine is not None and machine.in_other_shard:
                 machine.idle_since = 0.0
@@ -101,7 +106,7 @@
             self._moving[shard].pop(reported.name, None)
             return
         if machine is not None and not machine.in_other_shard:
-            # It came back to this shard meanwhile.
+            # The machine was transferred back to this shard meanwhile.
             return
         if reported.state == GONE:
             leaving.discard(reported.name)
@@ -125,7 +130,8 @@
     def _shadow_machine(
         self, name: str, kind: str, zone: str, spot: bool, shard: int
     ) -> Machine | None:
-        """The leader's record of a machine that another shard uses."""
+        """Find or add the first shard's entry for a machine that another shard uses; None if its
+        type is unknown."""
         cluster = self._scheduler.cluster
         machine = cluster.machine(name)
         if machine is None:
@@ -139,13 +145,13 @@
         return machine
 
     def step(self, now: float) -> None:
-        """Move idle machines of shards without shortages to shards that lack room.
+        """Move idle machines from shards without a shortage to shards with one.
 
-        Only whole idle machines move, as many as what waits there fills.
+        Moves as many idle machines as the waiting tasks of a shard fill.
         """
-        if now < self._next_moves:
+        if now < self._next_moves_at:
             return
-        self._next_moves = now + SUMMARY_INTERVAL_S
+        self._next_moves_at = now + SUMMARY_INTERVAL_S
         shortages = self._lasting_shortages(now)
         if not shortages:
             return
@@ -154,10 +160,10 @@
             self._move_machines(shard, needs, idle, now)
 
     def _lasting_shortages(self, now: float) -> dict[int, list[UnmetNeed]]:
-        """Unmet needs of shards where work has waited for a while, by shard."""
+        """Unmet needs by shard, for shards in which work has waited for ``SHORTAGE_S / 4``."""
         own = unmet_needs(self._scheduler) if 0 in self._map.cpu_machine_shards else []
-        self._waits(0, bool(own))
-        needs = {summary.shard: summary.shortages for summary in self._fresh()}
+        self._set_waiting(0, bool(own))
+        needs = {summary.shard: summary.shortages for summary in self._valid_summaries()}
         return {
             shard: found
             for shard, found in {**needs, 0: own}.items()
@@ -165,7 +171,7 @@
         }
 
     def _idle_machines(self, without: Container[int]) -> list[tuple[int, Machine]]:
-        """Idle machines without GPUs that may move, with their shards."""
+        """Idle machines without GPUs that may move, as (shard, machine)."""
         cluster = self._scheduler.cluster
         moving = {name for moves in self._moving.values() for name in moves}
         idle = []
@@ -193,7 +199,7 @@
     def _move_machines(
         self, shard: int, needs: list[UnmetNeed], idle: list[tuple[int, Machine]], now: float
     ) -> None:
-        """Move machines that fit a shard's needs; what moves is taken out of ``idle``."""
+        """Move machines that fit a shard's needs; removes them from ``idle``."""
         cluster = self._scheduler.cluster
         moving = sum(
             target == shard for moves in self._moving.values() for target, _ in moves.values()
@@ -201,7 +207,7 @@
         for need in needs:
             missing = need.tasks
             for entry in list(idle):
-                if missing <= 0 or moving >= MOVES_AT_ONCE:
+                if missing <= 0 or moving >= MAX_CONCURRENT_MOVES:
                     break
                 source, machine = entry
                 kind = cluster.types[machine.type]
@@ -217,55 +223,59 @@
                         self._hand_off(machine, shard)
 
     def return_machines(self, machines: list[Machine]) -> None:
-        """Ask the shards that have these idle machines to delete them."""
+        """Ask the shards that own these idle machines to delete them."""
         for machine in machines:
             kind = self._scheduler.cluster.type_names.names[machine.type]
             shard = self._shard_of.get(machine.name)
             if shard is None:
                 shard = self._map.shard_of_machine(machine.name, kind)
-            self._leaving[shard].add(machine.name)
-            # Counted as gone; the next summary says whether it is.
+            self._to_return[shard].add(machine.name)
+            # Counted as returned until the next summary reports the machine's state.
             machine.cordoned = True
 
-    def _waits(self, shard: int, waits: bool) -> None:
-        if waits:
+    def _set_waiting(self, shard: int, waiting: bool) -> None:
+        if waiting:
             self._waiting_since.setdefault(shard, self._scheduler.now)
         else:
             self._waiting_since.pop(shard, None)
 
-    def _fresh(self) -> list[ShardSummary]:
+    def _valid_summaries(self) -> list[ShardSummary]:
         now = self._scheduler.now
-        return [summary for at, summary in self._summaries.values() if now - at < STALE_S]
+        return [summary for at, summary in self._summaries.values() if now - at < SUMMARY_VALID_S]
 
     def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
-        """What is needed over all, and at least so much that every shard gets its own:
-        machines go round in turn, so a shard that needs more than the others gets
-        it only if that is rented for each of them."""
-        by_share = {0: [*own]}
-        for summary in self._fresh():
+        """Capacity that all shards need, as (total, without spot machines).
+
+        Machines go to the shards in rotation. A shard with a lasting shortage gets what it
+        needs only if as much is rented for every shard, so the result is at least its need
+        times the number of shards.
+        """
+        by_shard = {0: [*own]}
+        for summary in self._valid_summaries():
             if len(summary.capacity_needed) == 2:
-                by_share[summary.shard] = summary.capacity_needed[gpus]
-        total, fixed = (
-            [sum(sums[which][size] for sums in by_share.values()) for size in range(3)]
-            for which in range(2)
+                by_shard[summary.shard] = summary.capacity_needed[gpus]
+        total, without_spot = (
+            [sum(sums[index][size] for sums in by_shard.values()) for size in range(3)]
+            for index in range(2)
         )
         plain, now = self._map.cpu_machine_shards, self._scheduler.now
-        for shard, sums in by_share.items():
-            lacking = now - self._waiting_since.get(shard, now) > SHORTAGE_S
-            if gpus or shard not in plain or not lacking:
+        for shard, sums in by_shard.items():
+            has_shortage = now - self._waiting_since.get(shard, now) > SHORTAGE_S
+            if gpus or shard not in plain or not has_shortage:
                 continue
-            for into, amounts in zip((total, fixed), sums, strict=True):
+            for needed, amounts in zip((total, without_spot), sums, strict=True):
                 for size, amount in enumerate(amounts):
-                    into[size] = max(into[size], amount * len(plain))
-        return total, fixed
+                    needed[size] = max(needed[size], amount * len(plain))
+        return total, without_spot
 
     def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
-        """Work of other shards that none of their machines can ever run, with or without GPUs."""
+        """Work of other shards that none of their own machines can ever run, with or without
+        GPUs."""
         cluster = self._scheduler.cluster
         found = []
-        for summary in self._fresh():
+        for summary in self._valid_summaries():
             spread_by = (
                 len(self._map.cpu_machine_shards)
                 if summary.shard in self._map.cpu_machine_shards
@@ -289,12 +299,14 @@
         return found
 
     def _hand_off(self, machine: Machine, shard: int) -> None:
-        """One of the first shard's own, which it counts as that shard's from now on."""
-        given = self._transfer.hand_off(machine.name, shard)
-        if given is not None:
-            self._shadow_machine(given.name, given.type, given.zone, given.spot, shard)
+        """Hand off a machine of the first shard and count it as the other shard's from now on."""
+        handed_off = self._transfer.hand_off(machine.name, shard)
+        if handed_off is not None:
+            self._shadow_machine(
+                handed_off.name, handed_off.type, handed_off.zone, handed_off.spot, shard
+            )
 
     def summary_ages(self) -> dict[int, float]:
-        """By share: how many seconds ago its holder was heard."""
+        """Seconds since each shard's latest summary, by shard."""
         now = self._scheduler.now
         return {shard: round(now - at, 1) for shard, (at, _) in sorted(self._summaries.items())}
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of sharding use of their shard's scheduler, and limits that they share."""
+"""The scheduler interface that sharding needs, and limits used by several of its modules."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from appleshift.state.entities import Job
 
 SUMMARY_INTERVAL_S = 1.0
-"""Seconds between two summaries of a shard to the leader."""
+"""Seconds between two summaries that a shard sends to the leader."""
 MAX_MACHINES_PER_CALL = 600
-"""Machines named in one call: more would not fit a request body of 64 KiB."""
+"""Most machines in one call to another shard: more would exceed a request body of 64 KiB."""
 
 
 class ShardScheduler(ReplyingScheduler, Protocol):
-    """The scheduler of one term of a shard, as the parts of sharding use it."""
+    """The part of a shard's scheduler that sharding uses; one scheduler per term."""
 
     fleet: Fleet
     fast_path: FastPath
 
     def complete_tasks(self, job: Job, tasks: list[int], runs: list[Any]) -> None:
-        """Mark tasks done, in this shard (``runs``) or in another."""
+        """Mark tasks of a job as done; ``runs`` are those that ran in this shard."""
         ...
 
     def stop_job(self, job: Job) -> None:
@@ -30,9 +30,9 @@
         ...
 
     def add_pending_reply(self, reply_to: Any) -> None:
-        """Keep a request open until ``reply_if_pending`` or until the log stalls."""
+        """Keep a request open until ``reply_if_pending`` answers it or the log stalls."""
         ...
 
     def reply_if_pending(self, reply_to: Any, status: int, body: Any) -> None:
-        """Answer a request that is still held; one that was answered meanwhile is left alone."""
+        """Answer a request that is still open; do nothing if it was answered already."""
         ...
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -1,12 +1,12 @@
 """Transfer of idle machines from one shard to another.
 
 Rented machines go to the shards in rotation. An idle machine may be handed off to a shard
-that lacks room. Its shard records the hand-off once no task can be on the machine and no
-command can still arrive there, and never uses it again; the other shard records that it
-accepted the machine before it confirms. Between the two records nobody uses it. The worker
-has seen the fencing token of the former leader, so the new one sends commands with the
-higher of that token and its own (``Scheduler.fencing_token_for``). Each transfer has a
-number, so that messages that arrive late change nothing.
+without room for its tasks. The owner records the hand-off once no task can be on the machine
+and no command can still arrive there, and then stops using it. The other shard records that
+it accepted the machine before it confirms. Between the two records no shard uses the machine.
+The worker has seen the fencing token of the former owner, so the new owner sends commands
+with the higher of that token and its own (``Scheduler.fencing_token_for``). Each transfer of
+a machine has a number, so messages that arrive late change nothing.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class MachineTransfer:
-    """Hand-offs and acceptances of one term of a shard."""
+    """Hands machines off to other shards and accepts theirs, for one term of a shard."""
 
-    def __init__(self, scheduler: ShardScheduler, number: int) -> None:
-        """For one term of shard ``number``; recovers what was handed off and not confirmed."""
+    def __init__(self, scheduler: ShardScheduler, shard: int) -> None:
+        """For one term of ``shard``; offers again each hand-off recovered from the log."""
         self._scheduler = scheduler
-        self._shard = number
-        # Handed off durably and not confirmed in this term. A hand-off that is not durable
-        # yet must not be offered: a new leader here would still have the machine, and so
-        # would the other shard.
+        self._shard = shard
+        # Durable hand-offs that are not confirmed in this term. A hand-off must not be offered
+        # before it is durable: after a change of leader both shards would own the machine.
         self._unconfirmed: dict[str, HandedOffMachine] = dict(scheduler.cluster.handed_off)
         self.transferred_count = 0
 
     def hand_off(self, name: str, shard: int) -> HandedOffMachine | None:
-        """Hand off a machine on which nothing can be or start any more; None if it is not so."""
+        """Hand off a machine to ``shard``; None if a task may be on the machine or start there, or
+        if this leader may not write."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         machine = cluster.machine(name)
         if (
@@ -65,7 +65,7 @@
             machine.transfer_count + 1,
             scheduler.fencing_token_for(machine),
         )
-        # Unused from here on, whatever becomes of the record.
+        # This term stops using the machine, even if the record never becomes durable.
         cluster.remove_machine(machine)
         scheduler.fast_path.entries.pop(name, None)
         cluster.handed_off[name] = handed_off
@@ -79,7 +79,8 @@
         return handed_off
 
     def accept(self, offer: TransferredMachine) -> bool:
-        """Accept a machine; true once it is, or was, this shard's, so that it can be confirmed."""
+        """Accept an offered machine; true if it can be confirmed, as this shard owns it or has
+        owned it since the offer."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         known, handed_off = cluster.machine(offer.name), cluster.handed_off.get(offer.name)
         if offer.name in cluster.deleted_machines or (
@@ -92,7 +93,7 @@
             cluster.remove_machine(known)
         machine = cluster.add_machine(offer.name, offer.kind, offer.zone, offer.spot)
         if machine is None:
-            # Its type is not known here yet.
+            # This shard has not received the machine's type yet.
             return False
         cluster.handed_off.pop(offer.name, None)
         self._unconfirmed.pop(offer.name, None)
@@ -107,7 +108,7 @@
         return True
 
     def unconfirmed(self) -> dict[int, list[TransferredMachine]]:
-        """Machines that other shards have to accept, by shard."""
+        """Machines to offer to other shards until they confirm, by shard."""
         by_shard: dict[int, list[TransferredMachine]] = {}
         for each in self._unconfirmed.values():
             offers = by_shard.setdefault(each.shard, [])
@@ -126,6 +127,6 @@
         return by_shard
 
     def confirmed(self, shard: int, name: str) -> None:
-        """The other shard has recorded that it accepted the machine."""
+        """Stop offering a machine: ``shard`` has durably accepted it."""
         if (each := self._unconfirmed.get(name)) and each.shard == shard:
             del self._unconfirmed[name]
--- a/appleshift/sharding/shard_map.py
+++ b/appleshift/sharding/shard_map.py
@@ -1,10 +1,11 @@
 """Which shard a machine or a job id belongs to.
 
-Both follow from the name, so that every node comes to the same answer without
-asking. The epoch in which a machine or an id appeared decides, so neither ever
-changes its shard. The map is one key of the key-value store: only the leader of
-the first shard writes it, and the leaders of all other shards guard its version
-with each write (``shard_map_follower.py``).
+The name alone determines the shard, so all nodes compute the same shard without
+communication. A machine keeps the epoch in which it appeared and therefore its
+shard; a job id is also looked up in the shards of earlier epochs. The map is one
+key of the key-value store: only the leader of the first shard writes it, and the
+leaders of all other shards guard its version with each write
+(``shard_map_follower.py``).
 """
 
 from __future__ import annotations
@@ -18,38 +19,44 @@
 
 
 class ShardMap:
-    """One version of the shard map: its epochs, the newest last."""
+    """One version of the shard map.
+
+    ``epochs`` holds the newest epoch last. While ``changing``, only the first shard may have
+    a leader.
+    """
 
     def __init__(
         self, epochs: list[ShardMapEpoch], changing: bool = False, version: int = 0
     ) -> None:
-        """``version`` is that of the key; ValueError without any epoch."""
+        """``version`` is the version of the key in the store; ValueError if there is no epoch."""
         if not epochs:
-            raise ValueError("a map of shares without any epoch")
+            raise ValueError("shard map without epochs")
         self.epochs = epochs
         self.changing = changing
         self.version = version
-        # Shards that get nothing new any more still need a leader: they know jobs.
+        # A shard that gets no new machines or jobs still needs a leader: its jobs are stored
+        # there.
         self.shard_count = 1 + max(max(epoch.plain + epoch.homes) for epoch in epochs)
 
     @property
     def cpu_machine_shards(self) -> list[int]:
-        """Shards that get machines without GPUs, in the newest epoch."""
+        """Shards that the newest epoch gives machines without GPUs."""
         return self.epochs[-1].plain
 
     @property
     def submission_shards(self) -> list[int]:
-        """Shards that accept new jobs, in the newest epoch."""
+        """Shards that accept new jobs in the newest epoch."""
         return self.epochs[-1].homes
 
     @property
     def gpu_types(self) -> list[str]:
-        """Names of machine types with GPUs, which belong to the first shard, in the newest
-        epoch."""
+        """Names of the machine types with GPUs in the newest epoch; the first shard owns all
+        machines of these types."""
         return self.epochs[-1].cards
 
     def home_shards(self, job_id: str) -> list[int]:
-        """The shard that takes a job of this id, then those where it may be from before."""
+        """The shard that accepts a new job of this id, followed by the shards that may have
+        accepted it in an earlier epoch."""
         number = xxh3_64_intdigest(job_id.encode())
         found: list[int] = []
         for epoch in reversed(self.epochs):
@@ -59,8 +66,11 @@
         return found
 
     def shard_of_machine(self, name: str, type_name: str) -> int:
-        """The share of a machine. Names come in the order of their creation
-        (PROTOCOL, "Controller nodes -> cloud"), so the epoch follows from the name."""
+        """The shard of a machine.
+
+        The cloud assigns names in ascending order (PROTOCOL, "Controller nodes -> cloud"), so
+        the name determines the epoch.
+        """
         epoch = self.epochs[0]
         for later in reversed(self.epochs[1:]):
             if name > later.after:
@@ -68,18 +78,19 @@
                 break
         if type_name in epoch.cards:
             return 0
-        # Names end in a number: what one rental brings goes round in turn, which
-        # divides it more evenly than any hash.
+        # Names end in a number. Taking it modulo the number of shards spreads the machines
+        # of one rental in rotation, which is more even than any hash.
         digits = name[len(name.rstrip("0123456789")) :]
         number = int(digits) if digits else xxh3_64_intdigest(name.encode())
         return epoch.plain[number % len(epoch.plain)]
 
 
 def is_pinned_to_first_shard(team: TeamLimits) -> bool:
-    """Is the team decided in the first shard, so that one holder counts all it uses?
+    """Whether the first shard decides on all jobs of the team, so that one leader counts its
+    usage.
 
-    That holds for whatever limits it beyond machines with GPUs, which are there
-    anyway.
+    This applies to teams with a CPU limit. GPU limits need no pinning, as the first shard
+    owns all machines with GPUs.
     """
     return team.cpus > 0 or team.cpus_max > 0
 
@@ -91,10 +102,11 @@
     teams: list[TeamLimits],
     busy: Iterable[int] = (),
 ) -> ShardMapEpoch:
-    """The division of whatever comes after a machine's name.
+    """Create an epoch with ``count`` shards for machines whose names are larger than ``after``.
 
-    ``busy`` shards have work from before: they go on getting machines for it, or
-    what runs there and loses its machine could never start again.
+    ``cards`` are the machine types with GPUs. ``busy`` shards have unfinished work of earlier
+    epochs. They keep getting machines, or a task there that loses its machine could never
+    start again.
     """
     first = 0 if count <= 1 or any(is_pinned_to_first_shard(team) for team in teams) else 1
     homes = list(range(first, max(1, count)))
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -1,15 +1,15 @@
-"""A node's part in sharing: the map, who is to hold what, and calls between holders.
-
-The map is a key of the key-value store. Only the first shard's holder writes it,
-guarded by its own key; every other holder is elected under one version of it and
-guards that version with each write. So a holder that goes by an older map can
-write nothing, and what it only *says* rests on what was durable under its map.
-
-A change of the map is made in two steps, for machines are divided by when they
-came: first it is marked as changing, from when on no other holder can write or be
-elected; then the logs of all shards say which machines were in use, and whatever
-is named later goes by the new epoch. A leader that falls between leaves the mark,
-and the next one goes on from there.
+"""Sharding on a node: the shard map, moves of shards between nodes, and calls between shards.
+
+The map is one key of the key-value store. Only the leader of the first shard writes it,
+guarded by its leader key. The leader of every other shard is elected under one version of the
+map and guards that version with each write. So a leader with an outdated map can write
+nothing, and its replies contain only what was durable under that map.
+
+Machines are divided by the order in which they appeared, so the map changes in two steps.
+First it is marked as changing; from then on no other shard can write or elect a leader.
+Then the logs of all shards show which machines were in use, and the new epoch applies to
+all machines with larger names. If the leader fails between the two steps, the mark stays
+and the next leader completes the change.
 """
 
 from __future__ import annotations
@@ -54,18 +54,23 @@
 
 log = logging.getLogger(__name__)
 
-CALLS = 4
-CALL_S = 2.0
-READ_GAP_S = 0.5
-STEP_S = 0.25
-CLOSED = 1.5
-"""Machines heard for each place where connections are closed between reports."""
-GATHERING_S = 5.0
-"""After a start all peers count as there: they may be a moment later."""
+MAX_CONCURRENT_CALLS = 4
+CALL_TIMEOUT_S = 2.0
+MAP_POLL_INTERVAL_S = 0.5
+STEP_INTERVAL_S = 0.25
+MACHINES_PER_CONNECTION = 1.5
+"""Machines for each connection that a node can keep open: connections are closed between
+heartbeats, so machines share them."""
+STARTUP_GRACE_S = 5.0
+"""Seconds after a start in which all peers count as reachable: they may start a moment
+later."""
 
 
 class ShardMapFollower:
-    """One for each node that goes by a shard map."""
+    """Keeps a node's copy of the shard map and creates the replicas of its shards.
+
+    At the leader of the first shard it also changes the map and requests moves of shards.
+    """
 
     def __init__(
         self,
@@ -74,39 +79,39 @@
         peer_monitor: PeerMonitor,
         add_replica: Callable[[ShardReplica], None],
     ) -> None:
-        """``add_replica`` is called with the replica of each shard that appears in the map."""
+        """``add_replica`` is called with a new replica for each shard that the map adds."""
         self.context = context
         self.shard_map: ShardMap | None = None
         self.version = 0
         self._replicas = replicas
         self._peer_monitor = peer_monitor
         self._add_replica = add_replica
-        self._pool = ThreadPool(context.runtime, "share-call", CALLS)
+        self._pool = ThreadPool(context.runtime, "share-call", MAX_CONCURRENT_CALLS)
         self._now = context.runtime.now
-        self._began = self._now()
-        self._next_step = 0.0
+        self._started_at = self._now()
+        self._next_step_at = 0.0
         self._assigner: ShardAssigner | None = None
-        self._move: tuple[int, str] | None = None
+        self._requested_move: tuple[int, str] | None = None
 
     def start(self) -> None:
         """Start the thread that follows the shard map."""
         self.context.runtime.spawn("shares", self._follow_map)
 
     def stop(self) -> None:
-        """Stop calls to other shards; the map's thread ends with the node."""
+        """Stop calls to other shards; the thread that follows the map ends with the node."""
         self._pool.stop()
 
-    # -- the map ---------------------------------------------------------------------
+    # -- shard map -------------------------------------------------------------------
 
     def _follow_map(self) -> None:
-        """Learn of the map once there is one, and whenever a peer has a newer."""
+        """Read the map until it exists, then whenever a peer uses a newer version."""
         while not self.context.stop.is_set():
             try:
                 if self.shard_map is None or self._peer_monitor.shard_map_version > self.version:
                     self._install_map(*self._read_map())
             except (StoreError, ProtocolError) as error:
                 log.debug("reading the shard map failed error=%s", error)
-            self.context.stop.wait(READ_GAP_S)
+            self.context.stop.wait(MAP_POLL_INTERVAL_S)
 
     def _read_map(self) -> tuple[ShardMapValue | None, int]:
         item = self.context.store.get(SHARD_MAP_KEY)
@@ -115,9 +120,9 @@
     def _install_map(self, value: ShardMapValue | None, version: int) -> None:
         if value is None or version <= self.version:
             return
-        known = ShardMap(value.epochs, value.changing, version)
-        self.shard_map, self.version = known, version
-        for shard in range(1, known.shard_count):
+        shard_map = ShardMap(value.epochs, value.changing, version)
+        self.shard_map, self.version = shard_map, version
+        for shard in range(1, shard_map.shard_count):
             if shard not in self._replicas:
                 self._add_replica(
                     ShardReplica(
@@ -129,50 +134,57 @@
                 )
 
     def _guards(self) -> tuple[tuple[str, int], ...] | None:
-        """Under which map a shard other than the first may be held."""
-        known, version = self.shard_map, self.version
-        return None if known is None or known.changing else ((SHARD_MAP_KEY, version),)
+        """The guard on the map's version for elections and writes of a shard other than the first.
+
+        None while the map is unknown or changing: such a shard can have no leader then.
+        """
+        shard_map, version = self.shard_map, self.version
+        return None if shard_map is None or shard_map.changing else ((SHARD_MAP_KEY, version),)
 
     def sharding_for(self, term: LeaderTerm, replayer: LogReplayer) -> Sharding | None:
-        """What a shard's new core has to do with the others; None with one shard.
+        """Create the interface to the other shards for a new term; None if there is no map.
 
-        Raises StoreError, ClientError or ProtocolError to be asked again, and
-        TxnFailedError if the term is over.
+        Raises StoreError, ClientError or ProtocolError if the call should be retried, and
+        CompareFailedError if the term is over.
         """
         if not term.shard:
             self._update_map(term, replayer)
         elif term.extra_guards != ((SHARD_MAP_KEY, self.version),):
-            # Elected under a map that is not in force: nothing could be written.
+            # Elected under another version of the map: every write would fail its guard.
             raise CompareFailedError([SHARD_MAP_KEY])
         if self.shard_map is None:
             return None
         return Sharding(term.shard, self.shard_map, self.context.settings.deployment.teams)
 
     def _update_map(self, term: LeaderTerm, replayer: LogReplayer) -> None:
-        """The leader makes the map what the operators want it to be."""
+        """Change the map to the number of shards that the operators configured.
+
+        Runs at the start of a term of the first shard. A new epoch is also needed if a shard
+        that accepts no new jobs has finished its work.
+        """
         value, version = self._read_map()
-        wanted = self.context.operator.shares
-        if value is None and wanted <= 1:
+        wanted_count = self.context.operator.shares
+        if value is None and wanted_count <= 1:
             return
         last = ShardMapEpoch(1) if value is None else value.epochs[-1]
-        wanted = wanted or last.count
-        if value is not None and not value.changing and wanted == last.count:
-            leaving = {*last.plain} - {*last.homes}
-            if not leaving or leaving & self._shards_with_work(replayer, leaving):
+        wanted_count = wanted_count or last.count
+        if value is not None and not value.changing and wanted_count == last.count:
+            retiring = {*last.plain} - {*last.homes}
+            if not retiring or retiring & self._shards_with_work(replayer, retiring):
                 self._install_map(value, version)
                 return
-        kinds = replayer.cluster.types or self.context.cloud.machine_types()
-        cards = sorted(kind.name for kind in kinds if kind.gpus > 0)
+        machine_types = replayer.cluster.types or self.context.cloud.machine_types()
+        cards = sorted(kind.name for kind in machine_types if kind.gpus > 0)
         teams = self.context.settings.deployment.teams
         epochs: list[ShardMapEpoch] = [] if value is None else value.epochs
         if value is not None:
             version = self._write_map(term, ShardMapValue(epochs, changing=True), version)
-        others = self._recovered_shards(replayer, ShardMap(epochs or [last]).shard_count)
-        names = {name for cluster in others.values() for name in _machine_names(cluster)}
-        busy = {shard for shard, cluster in others.items() if cluster.jobs and shard in last.plain}
+        shards = self._recovered_shards(replayer, ShardMap(epochs or [last]).shard_count)
+        names = {name for cluster in shards.values() for name in _machine_names(cluster)}
+        busy = {shard for shard, cluster in shards.items() if cluster.jobs and shard in last.plain}
         if value is None and (names or replayer.cluster.jobs or replayer.cluster.final_states):
             epochs = [last]
-        new = new_epoch(wanted, max(names, default=""), cards, teams, busy)
+        new = new_epoch(wanted_count, max(names, default=""), cards, teams, busy)
         epochs = [*epochs, new]
         version = self._write_map(term, ShardMapValue(epochs), version)
         log.info(
@@ -183,7 +195,10 @@
         self._install_map(ShardMapValue(epochs), version)
 
     def _write_map(self, term: LeaderTerm, value: ShardMapValue, version: int) -> int:
-        """Put the map in the place of that version; returns its own."""
+        """Replace ``version`` of the map; returns the new version.
+
+        Raises CompareFailedError if the leader key or the map was changed meanwhile.
+        """
         value = msgspec.structs.replace(value, mark=term.term_id)
         guards = [
             kv.guard(self._replicas[0].election.key, term.key_version),
@@ -193,48 +208,48 @@
         try:
             return self.context.store.compare_and_swap(guards, [put])
         except CompareFailedError:
-            # An earlier copy whose answer was lost may have got through.
+            # An earlier attempt whose response was lost may have been applied.
             found, version = self._read_map()
             if found == value:
                 return version
             raise
 
-    def _recovered_shards(self, replayer: LogReplayer, shares: int) -> dict[int, ClusterState]:
-        """What the logs of all shards say; the first one's is recovered already."""
+    def _recovered_shards(self, replayer: LogReplayer, shard_count: int) -> dict[int, ClusterState]:
+        """The state of each shard, read from its log; ``replayer`` has the first shard's."""
         deployment = self.context.settings.deployment
         found = {0: replayer.cluster}
-        for shard in range(1, shares):
-            other = LogReplayer(ClusterState(deployment.zones, deployment.teams))
-            recover(self.context.store, other, shard_prefix(shard))
-            found[shard] = other.cluster
+        for shard in range(1, shard_count):
+            shard_replayer = LogReplayer(ClusterState(deployment.zones, deployment.teams))
+            recover(self.context.store, shard_replayer, shard_prefix(shard))
+            found[shard] = shard_replayer.cluster
         return found
 
-    def _shards_with_work(self, replayer: LogReplayer, shares: set[int]) -> set[int]:
-        """Which of these shards have work."""
-        cluster = self._recovered_shards(replayer, max(shares) + 1)
-        return {shard for shard in shares if cluster[shard].jobs}
+    def _shards_with_work(self, replayer: LogReplayer, shards: set[int]) -> set[int]:
+        """The shards among ``shards`` that have unfinished jobs."""
+        cluster = self._recovered_shards(replayer, max(shards) + 1)
+        return {shard for shard in shards if cluster[shard].jobs}
 
-    # -- who holds what ------------------------------------------------------------------
+    # -- assignment of shards ------------------------------------------------------------
 
     def reachable_controllers(self, now: float) -> list[ControllerLoad]:
-        """Who is there, this node included."""
+        """The reachable controllers that follow a shard map, this node included."""
         name = self.context.settings.name
-        held = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
-        found = [ControllerLoad(name, held, now - self._began)]
+        held_shards = sum(replica.lease.is_leader for replica in [*self._replicas.values()])
+        found = [ControllerLoad(name, held_shards, now - self._started_at)]
         for peer in self.context.peer_clients:
             at, status = self._peer_monitor.last_status.get(peer, (float("-inf"), None))
             if status is not None and now - at < PEER_STATUS_VALID_S and status.shard_map_version:
                 count = len(status.held_shards) + status.leading
                 since = self._peer_monitor.reachable_since.get(peer, now)
                 found.append(ControllerLoad(peer, count, now - since))
-            elif now - self._began < GATHERING_S:
+            elif now - self._started_at < STARTUP_GRACE_S:
                 found.append(ControllerLoad(peer, 0, 0.0))
         return found
 
-    def wanted_move(self, now: float) -> tuple[int, str] | None:
-        """The move that the leader wants, as (share, node)."""
+    def requested_move(self, now: float) -> tuple[int, str] | None:
+        """The move that the leader of the first shard requests, as (shard, target node)."""
         if self._replicas[0].lease.may_answer(now):
-            return self._move
+            return self._requested_move
         best: tuple[int, peers.PeerStatus] | None = None
         for at, status in list(self._peer_monitor.last_status.values()):
             if (
@@ -250,30 +265,34 @@
         )
 
     def _candidacy_delay_s(self, shard: int) -> float:
-        """How long others go first in standing for a shard that is free."""
+        """Seconds that this node waits before it becomes a candidate for a shard without a
+        leader."""
         now = self._now()
         name = self.context.settings.name
         controllers = self.reachable_controllers(now)
-        move = self.wanted_move(now)
-        ahead = 0
+        move = self.requested_move(now)
+        target_goes_first = 0
         if move is not None and move[0] == shard:
             if move[1] == name:
                 return 0.0
-            ahead = any(each.name == move[1] for each in controllers)
-        # Who held it is gone, though what it said of itself is not old yet.
+            target_goes_first = any(each.name == move[1] for each in controllers)
+        # The former leader has failed, though its last status is recent enough to count.
         former = self._replicas[shard].election.last_holder
-        there = [each for each in controllers if each.name == name or each.name != former]
-        rank = shard_assigner.rank_candidates(shard, there).index(name)
-        starting = now - self._began < GATHERING_S
-        return (rank + ahead) * (
+        eligible = [each for each in controllers if each.name == name or each.name != former]
+        rank = shard_assigner.rank_candidates(shard, eligible).index(name)
+        starting = now - self._started_at < STARTUP_GRACE_S
+        return (rank + target_goes_first) * (
             shard_assigner.STARTUP_CANDIDACY_STEP_S if starting else shard_assigner.CANDIDACY_STEP_S
         )
 
     def step(self, now: float) -> None:
-        """Called by the cores' thread: ask for moves, or carry one out."""
-        if now < self._next_step or self.shard_map is None:
+        """Request a move as leader of the first shard, or hand over a shard that is to move.
+
+        Called by the schedulers' thread; ``now`` is in monotonic seconds.
+        """
+        if now < self._next_step_at or self.shard_map is None:
             return
-        self._next_step = now + STEP_S
+        self._next_step_at = now + STEP_INTERVAL_S
         if self._replicas[0].lease.may_answer(now):
             if self._assigner is None:
                 self._assigner = ShardAssigner(now)
@@ -283,84 +302,90 @@
             }
             self._set_max_machines(len(holders))
             move = self._assigner.step(now, holders, self.reachable_controllers(now))
-            if move is not None and move != self._move:
+            if move is not None and move != self._requested_move:
                 log.info("moving shard shard=%d from=%s to=%s", move[0], holders[move[0]], move[1])
-            self._move = move
+            self._requested_move = move
         else:
-            self._assigner, self._move = None, None
-        move = self.wanted_move(now)
+            self._assigner, self._requested_move = None, None
+        move = self.requested_move(now)
         if move is not None and move[1] != self.context.settings.name:
             replica = self._replicas.get(move[0])
-            there = any(each.name == move[1] for each in self.reachable_controllers(now))
-            if replica is not None and replica.lease.may_write(now) and there:
+            target_reachable = any(each.name == move[1] for each in self.reachable_controllers(now))
+            if replica is not None and replica.lease.may_write(now) and target_reachable:
                 replica.hand_over()
 
-    def _set_max_machines(self, shares: int) -> None:
-        """How many machines may be rented: so many that each node hears its part.
+    def _set_max_machines(self, shard_count: int) -> None:
+        """Limit the rented machines to the number that the nodes can receive heartbeats from.
 
-        Beyond its places a node closes connections between reports, so that the
-        machines that report at the same time need one, not all that there are.
+        A node with more machines than connections closes each connection after a heartbeat,
+        so only machines that send one at the same time need a connection.
         """
         scheduler = self._replicas[0].scheduler
         if scheduler is not None:
             limits = self.context.settings.deployment.machine_limits
-            places = NodeLimits.from_machine_limits(limits, shared=True).machines
-            nodes = min(len(self.context.peer_clients) + 1, shares)
-            scheduler.fleet.set_max_machines(int(places * nodes * CLOSED))
+            connections = NodeLimits.from_machine_limits(limits, shared=True).machines
+            nodes = min(len(self.context.peer_clients) + 1, shard_count)
+            scheduler.fleet.set_max_machines(int(connections * nodes * MACHINES_PER_CONNECTION))
 
     def extend_status(self, status: peers.PeerStatus, now: float) -> peers.PeerStatus:
-        """What this node says of itself, with its shards."""
-        shares = [
+        """Add this node's shards, its map version and the requested move to its status."""
+        held_shards = [
             peers.HeldShard(shard, replica.lease.fencing_token, replica.lease.may_answer(now))
             for shard, replica in sorted([*self._replicas.items()])
             if shard and replica.lease.is_leader
         ]
-        wanted: list[str] = []
-        move = self._move
+        preferred_holders: list[str] = []
+        move = self._requested_move
         if move is not None and status.entitled:
-            wanted = [""] * move[0] + [move[1]]
+            preferred_holders = [""] * move[0] + [move[1]]
         return msgspec.structs.replace(
-            status, held_shards=shares, shard_map_version=self.version, preferred_holders=wanted
+            status,
+            held_shards=held_shards,
+            shard_map_version=self.version,
+            preferred_holders=preferred_holders,
         )
 
-    # -- calls between holders ---------------------------------------------------------------
+    # -- calls between shards ----------------------------------------------------------------
 
     def call_shard(self, action: CallShard, term: Any) -> None:
-        """Send a request to the leader of another shard; its reply comes back as an event."""
+        """Send a request to the leader of another shard.
+
+        The reply, or the failure, is posted as a ``ShardReplyReceived`` event of ``term``.
+        """
         self._pool.submit(self._call_shard, action, term)
 
     def _call_shard(self, action: CallShard, term: Any) -> None:
-        back = _ReplyToScheduler(self.context.post, term, action.shard)
+        reply_to = _ReplyToScheduler(self.context.post, term, action.shard)
         replica = self._replicas.get(action.shard)
         holder = None if replica is None else replica.election.current_leader()
         if holder == self.context.settings.name:
-            self.context.post(events.ShardRequestReceived(action.shard, back, action.message))
+            self.context.post(events.ShardRequestReceived(action.shard, reply_to, action.message))
             return
         client = self.context.peer_clients.get(holder or "")
-        answer = None
+        reply = None
         try:
             if client is not None:
                 body = encode(ShardCall(action.shard, action.message))
-                status, raw = client.request("POST", SHARD_CALL_PATH, body, CALL_S)
-                answer = decode_answer(raw) if status == 200 else None
+                status, raw = client.request("POST", SHARD_CALL_PATH, body, CALL_TIMEOUT_S)
+                reply = decode_answer(raw) if status == 200 else None
         except (ClientError, ProtocolError) as error:
             log.debug("call to shard failed shard=%d error=%s", action.shard, error)
-        back.put((200 if answer is not None else 503, answer, 0))
+        reply_to.put((200 if reply is not None else 503, reply, 0))
 
 
 def _machine_names(cluster: ClusterState) -> set[str]:
-    """Machines that were ever in use."""
+    """Names of all machines that the shard has ever used."""
     return {*cluster.machine_names.names, *cluster.deleted_machines}
 
 
 class _ReplyToScheduler:
-    """Where an answer goes that nobody waits for: it becomes an event of the term."""
+    """The reply channel of a call between shards: posts the reply as an event of the term."""
 
     def __init__(self, post: Callable[[events.Event], None], term: Any, shard: int) -> None:
-        self._post, self._term, self._share = post, term, shard
+        self._post, self._term, self._shard = post, term, shard
 
-    def put(self, answer: tuple[int, Any, int]) -> None:
-        status, body, _ = answer
+    def put(self, reply: tuple[int, Any, int]) -> None:
+        status, body, _ = reply
         self._post(
-            events.ShardReplyReceived(self._term, self._share, body if status == 200 else None)
+            events.ShardReplyReceived(self._term, self._shard, body if status == 200 else None)
         )
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -1,9 +1,10 @@
-"""What the holder of a shard tells the leader, and does for it.
+"""Reports a shard's needs and machines to the leader of the first shard and applies its plan.
 
-Only the first shard's holder, the leader, rents. The others tell it each second what
-they need and what their machines are, and it answers which idle ones the plan does
-without and which others need more. Old or lost summaries cost money or time, never a
-rule: a machine is given back or handed off by the holder that knows it to be empty.
+Only the leader of the first shard rents machines. The leader of every other shard sends it a
+summary each second: the capacity that the shard needs and the machines that changed. The reply
+names the idle machines that the plan does not need and those that other shards need more.
+Outdated or lost summaries cost money or time but break no invariant: a machine is returned or
+handed off by its own shard, which can check that it is empty.
 """
 
 from __future__ import annotations
@@ -30,46 +31,52 @@
 
 log = logging.getLogger(__name__)
 
-NEEDS = 40
+MAX_NEEDS = 40
+"""Most unmet needs, and most unplaceable ones, in one summary."""
 
 
 def unmet_need(cluster: ClusterState, need: CapacityNeed) -> UnmetNeed:
-    """As it is told to another node, by names."""
+    """Convert a need to its form in messages, with names of machine types and zones."""
     kinds = [kind.name for kind, ok in zip(cluster.types, need.eligible_types, strict=True) if ok]
     zones = [cluster.zones.names[zone] for zone in need.zones]
     return UnmetNeed(need.cpus, need.gpus, need.memory_gb, need.tasks, need.spot, kinds, zones)
 
 
 def unmet_needs(scheduler: ShardScheduler) -> list[UnmetNeed]:
-    """What waits for room, the most urgent first."""
+    """The shortages of a shard, the most urgent first, at most ``MAX_NEEDS``."""
     cluster = scheduler.cluster
-    some = scheduler.fleet.shortages[:NEEDS]
-    return [unmet_need(cluster, capacity_need_for(cluster, shortage)) for shortage in some]
+    shortages = scheduler.fleet.shortages[:MAX_NEEDS]
+    return [unmet_need(cluster, capacity_need_for(cluster, shortage)) for shortage in shortages]
 
 
 class ShardReporter:
-    """Of one term of a shard other than the first."""
+    """Creates the summaries of a shard other than the first, for one term."""
 
-    def __init__(self, scheduler: ShardScheduler, number: int, transfer: MachineTransfer) -> None:
-        """For one term of shard ``number``, which is not the first."""
+    def __init__(self, scheduler: ShardScheduler, shard: int, transfer: MachineTransfer) -> None:
+        """For one term of ``shard``, which is not the first."""
         self._scheduler = scheduler
-        self._shard = number
+        self._shard = shard
         self._transfer = transfer
-        # What the leader knows of each machine, and what is on its way to it.
+        # Fencing token of the leader that sent the latest plan.
         self._leader_token = 0
         self._seq = 0
+        # State and idleness of each machine, by name: as the leader has acknowledged them, and
+        # as sent in the summary whose reply is outstanding.
         self._acknowledged: dict[str, tuple[int, bool]] = {}
         self._in_flight: dict[str, tuple[int, bool]] = {}
+        # Spot markets with a reclaimed machine, as (type, zone): not yet acknowledged, and those
+        # of them in the summary whose reply is outstanding.
         self._evicted: set[tuple[str, str]] = set()
         self._evicted_in_flight: set[tuple[str, str]] = set()
 
     def machine_evicted(self, kind: int, zone: int) -> None:
-        """Note that a spot machine of this type and zone was reclaimed."""
-        names = self._scheduler.cluster
-        self._evicted.add((names.type_names.names[kind], names.zones.names[zone]))
+        """Add to the next summary that a spot machine of this type and zone was reclaimed."""
+        cluster = self._scheduler.cluster
+        self._evicted.add((cluster.type_names.names[kind], cluster.zones.names[zone]))
 
     def summary(self, now: float) -> ShardSummary:
-        """What the leader is to be told now."""
+        """Create the next summary: the shard's needs, and the machines whose reported state is
+        outdated."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         self._seq += 1
         changed: list[MachineSummary] = []
@@ -102,7 +109,7 @@
             changed,
             [[*pool.needed_capacity(now)] for pool in pools],
             [unmet_need(cluster, need) for pool in pools for need in pool.unplaceable_needs()][
-                :NEEDS
+                :MAX_NEEDS
             ],
             unmet_needs(scheduler),
             sorted(self._evicted),
@@ -111,16 +118,16 @@
         )
 
     def plan_received(self, plan: FleetPlan) -> None:
-        """Apply the leader's answer: machine types, hand-offs, machines to return."""
+        """Apply the leader's reply to a summary: machine types, transfers, machines to return."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
-        for name, said in self._in_flight.items():
-            if said[0] in (GONE, MOVED):
+        for name, reported in self._in_flight.items():
+            if reported[0] in (GONE, MOVED):
                 self._acknowledged.pop(name, None)
             else:
-                self._acknowledged[name] = said
+                self._acknowledged[name] = reported
         self._evicted -= self._evicted_in_flight
         if plan.fencing_token != self._leader_token:
-            # Another leader, which was told nothing before this summary.
+            # A new leader has received no summary before this one.
             self._leader_token = plan.fencing_token
             self._acknowledged = dict(self._in_flight)
         self._in_flight, self._evicted_in_flight = {}, set()
@@ -141,6 +148,7 @@
             scheduler.delete_machines(leaving)
 
     def no_reply(self) -> None:
-        """Perhaps the leader heard, perhaps not: all of it is said again."""
+        """Handle a summary without a reply: the leader may not have received it, so the next
+        one repeats its contents."""
         self._in_flight.clear()
         self._evicted_in_flight.clear()
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -1,10 +1,10 @@
-"""What a shard's core has to do with the other shards.
+"""The scheduler's interface to the other shards.
 
-Part of the scheduler, owned by its thread; sans-IO, like the rest. Three matters cross the
-border of a shard, and none needs two holders for one decision: partitions of large arrays
-(``partitions.py``), idle machines that are handed off (``handing.py``), and the fleet, for
-which the first shard's holder rents (``reporting.py`` at the others, ``overview.py``
-at the leader).
+Part of the scheduler: runs on its thread and does no I/O. Three things involve more than
+one shard, and no decision needs the agreement of two leaders: partitions of large arrays
+(``array_partitions.py``), the transfer of idle machines (``machine_transfer.py``), and the
+fleet, for which the leader of the first shard rents all machines (``shard_reporter.py`` in
+the other shards, ``fleet_summary.py`` in the first).
 """
 
 from __future__ import annotations
@@ -27,35 +27,36 @@
 from appleshift.state.resources import type_fits
 from appleshift.storage.records import Record
 
-LOOK_S = 0.05
-"""What is to be said to other shards is looked for so often."""
-ASK_S = 1.0
-"""How often a home asks how its partitions stand."""
-EARLY_S = 0.2
-"""Until the machine types are known, nothing can be taken: they are asked for."""
+POLL_INTERVAL_S = 0.05
+"""Seconds between two checks for messages that are due to other shards."""
+REQUEST_INTERVAL_S = 1.0
+"""Seconds between two requests to a shard, unless something new is to be sent at once."""
+STARTUP_SUMMARY_INTERVAL_S = 0.2
+"""Seconds between two summaries until the leader has sent the machine types: without them
+the shard cannot use any machine."""
 
 
 class Sharding:
-    """One for each term of a shard."""
-
-    def __init__(self, number: int, known: ShardMap, teams: list[TeamLimits]) -> None:
-        """For one term of shard ``number`` under the map ``known``."""
-        self.shard = number
-        self.shard_count = known.shard_count
-        self._map = known
-        self._pinned = {team.name for team in teams if is_pinned_to_first_shard(team)}
+    """Routes work between this shard and the others, for one term of this shard."""
+
+    def __init__(self, shard: int, shard_map: ShardMap, teams: list[TeamLimits]) -> None:
+        """For one term of ``shard``; ``shard_map`` stays in force for the whole term."""
+        self.shard = shard
+        self.shard_count = shard_map.shard_count
+        self._map = shard_map
+        self._pinned_teams = {team.name for team in teams if is_pinned_to_first_shard(team)}
         self._scheduler: ShardScheduler
         self._partitions: ArrayPartitions
         self._transfer: MachineTransfer
         self._reporter: ShardReporter
         self._fleet_summary: FleetSummary
-        # Shares that were asked something and have not answered yet.
+        # Shards with a call whose reply is outstanding; each has at most one.
         self._pending_calls: set[int] = set()
-        self._next_ask: dict[int, float] = defaultdict(float)
-        self._next_look = 0.0
+        self._next_call_at: dict[int, float] = defaultdict(float)
+        self._next_poll_at = 0.0
 
     def attach(self, scheduler: Any) -> None:
-        """Serve this scheduler from now on."""
+        """Set the scheduler of this term; must be called before any other method."""
         self._scheduler = scheduler
         self._partitions = ArrayPartitions(
             scheduler, self.shard, self._map.submission_shards, self._poll_now
@@ -64,64 +65,81 @@
         self._reporter = ShardReporter(scheduler, self.shard, self._transfer)
         self._fleet_summary = FleetSummary(scheduler, self._map, self._transfer)
 
-    # -- what belongs where --------------------------------------------------------
+    # -- ownership -----------------------------------------------------------------
 
     def owns_machine(self, machine: str, kind: str) -> bool:
-        """Whether a machine of that name and type belongs to this shard."""
+        """Whether the shard map assigns a machine of this name and type to this shard."""
         return self._map.shard_of_machine(machine, kind) == self.shard
 
     def is_home(self, job_id: str) -> bool:
-        """Whether a new job of that id is accepted by this shard."""
+        """Whether this shard accepts a new job of this id."""
         return self._map.home_shards(job_id)[0] == self.shard
 
     def is_current_map(self, job_id: str, map_version: int) -> bool:
-        """Whether whoever asks by that map version asks a shard that would know the job."""
+        """Whether ``map_version`` is the current version and may place the job in this shard.
+
+        Only then does an unknown id mean that the job does not exist.
+        """
         return map_version == self._map.version and self.shard in self._map.home_shards(job_id)
 
     def deciding_shard(self, spec: Submission) -> int:
-        """The first shard has the machines with GPUs, and teams with limits on the rest."""
-        if spec.gpus > 0 or spec.team in self._pinned or spec.counted_resources:
+        """The shard that decides on a job submitted here: this shard or the first one.
+
+        The first shard decides on jobs with GPUs or counted resources, on jobs of teams
+        with a CPU limit, and on jobs that fit no machine type without GPUs.
+        """
+        if spec.gpus > 0 or spec.team in self._pinned_teams or spec.counted_resources:
             return 0
-        plain = (
+        eligible_types = (
             kind
             for kind in self._scheduler.cluster.types
             if kind.name not in self._map.gpu_types
             and (spec.types is None or kind.name in spec.types)
         )
-        return self.shard if any(type_fits(kind, spec) for kind in plain) else 0
+        return self.shard if any(type_fits(kind, spec) for kind in eligible_types) else 0
 
-    # -- what the scheduler asks of it --------------------------------------------------------
+    # -- calls from the scheduler -------------------------------------------------------------
 
     def partition_array(self, job: Job) -> list[Record]:
-        """Divide a new array among the shards; returns the records to append."""
+        """Divide a new array among the shards; returns the records to append, none if the array
+        stays whole."""
         return self._partitions.partition_array(job)
 
     def cancel_partitioned(self, job: Job, reply_to: Any) -> None:
-        """Cancel a job with tasks in other shards, then answer."""
+        """Cancel a job with tasks in other shards; ``reply_to`` is answered once all of them have
+        confirmed."""
         self._partitions.cancel(job, reply_to)
 
     def machine_evicted(self, kind: int, zone: int) -> None:
-        """Tell the leader that a spot machine of this type and zone was reclaimed."""
+        """Report to the leader that the cloud reclaimed a spot machine of this type and zone."""
         self._reporter.machine_evicted(kind, zone)
 
     def return_machines(self, machines: list[Machine]) -> None:
-        """Ask the shards that have these idle machines to delete them."""
+        """Ask the shards that own these idle machines to delete them."""
         self._fleet_summary.return_machines(machines)
 
     def needed_capacity(
         self, gpus: bool, own: tuple[list[float], list[float]]
     ) -> tuple[list[float], list[float]]:
-        """Capacity needed by all shards, in all and without spot machines: CPUs, GPUs, GB."""
+        """Capacity that all shards need, as (total, without spot machines).
+
+        Each is a list of CPUs, GPUs and gigabytes; ``own`` is what this shard needs.
+        """
         return self._fleet_summary.needed_capacity(gpus, own)
 
     def unplaceable_needs(self, gpus: bool) -> list[CapacityNeed]:
-        """Work of other shards that none of their machines can ever run."""
+        """Work of other shards that none of their own machines can ever run, with or without
+        GPUs."""
         return self._fleet_summary.unplaceable_needs(gpus)
 
-    # -- other holders ---------------------------------------------------------------------
+    # -- calls between shards --------------------------------------------------------------
 
     def request_received(self, message: Any, reply_to: Any) -> None:
-        """Answer the leader of another shard; 503 if this one may not answer or write."""
+        """Handle a request from the leader of another shard.
+
+        The reply is 503 if this leader's lease does not permit to answer, or does not permit
+        to write and the request needs a write.
+        """
         scheduler = self._scheduler
         if isinstance(message, ShardSummary) and not self.shard:
             if scheduler.lease.may_answer(scheduler.now):
@@ -129,58 +147,66 @@
                 return
         elif isinstance(message, PartitionRequest):
             changes = message.partitions or message.cancelled or message.machines
-            writes = scheduler.lease.may_write(scheduler.now) and not (
+            may_write = scheduler.lease.may_write(scheduler.now) and not (
                 scheduler.draining or scheduler.writes_stalled
             )
-            if scheduler.lease.may_answer(scheduler.now) and (writes or not changes):
-                standings = self._partitions.request_received(message)
-                taken = [each.name for each in message.machines if self._transfer.accept(each)]
-                scheduler.reply_when_durable(reply_to, 200, PartitionReply(standings, taken))
+            if scheduler.lease.may_answer(scheduler.now) and (may_write or not changes):
+                statuses = self._partitions.request_received(message)
+                accepted = [each.name for each in message.machines if self._transfer.accept(each)]
+                scheduler.reply_when_durable(reply_to, 200, PartitionReply(statuses, accepted))
                 return
         scheduler.reply_unavailable(reply_to)
 
-    def reply_received(self, shard: int, answer: Any) -> None:
-        """Apply another shard's reply; None: it gave none in time."""
+    def reply_received(self, shard: int, reply: Any) -> None:
+        """Apply the reply of another shard to a call; None if the call failed or timed out."""
         self._pending_calls.discard(shard)
-        if isinstance(answer, PartitionReply):
-            for partition_status in answer.statuses:
+        if isinstance(reply, PartitionReply):
+            for partition_status in reply.statuses:
                 self._partitions.status_received(shard, partition_status)
-            for name in answer.machines:
+            for name in reply.machines:
                 self._transfer.confirmed(shard, name)
-        elif isinstance(answer, FleetPlan):
-            self._reporter.plan_received(answer)
+        elif isinstance(reply, FleetPlan):
+            self._reporter.plan_received(reply)
         elif shard == 0:
             self._reporter.no_reply()
 
     def _poll_now(self, shard: int) -> None:
-        self._next_ask[shard] = 0.0
+        self._next_call_at[shard] = 0.0
 
-    def _call(self, shard: int, message: PartitionRequest | ShardSummary, again_s: float) -> None:
+    def _call(
+        self, shard: int, message: PartitionRequest | ShardSummary, interval_s: float
+    ) -> None:
         self._pending_calls.add(shard)
-        self._next_ask[shard] = self._scheduler.now + again_s
+        self._next_call_at[shard] = self._scheduler.now + interval_s
         self._scheduler.actions.append(CallShard(shard, message))
 
-    # -- time --------------------------------------------------------------------------------
+    # -- periodic work -----------------------------------------------------------------------
 
     def step(self, now: float) -> None:
-        """Send what other shards are to be asked or told now."""
+        """Send the requests and the summary that are due at ``now``, in monotonic seconds."""
         scheduler = self._scheduler
-        if now < self._next_look or not scheduler.lease.may_answer(now):
+        if now < self._next_poll_at or not scheduler.lease.may_answer(now):
             return
-        self._next_look = now + LOOK_S
-        outstanding, given = self._partitions.outstanding(), self._transfer.unconfirmed()
-        for shard in {**outstanding, **given}:
-            if shard not in self._pending_calls and now >= self._next_ask[shard]:
-                lists = outstanding.get(shard, ([], [], []))
-                self._call(shard, PartitionRequest(self.shard, *lists, given.get(shard, [])), ASK_S)
+        self._next_poll_at = now + POLL_INTERVAL_S
+        outstanding, unconfirmed = self._partitions.outstanding(), self._transfer.unconfirmed()
+        for shard in {**outstanding, **unconfirmed}:
+            if shard not in self._pending_calls and now >= self._next_call_at[shard]:
+                request = outstanding.get(shard, ([], [], []))
+                self._call(
+                    shard,
+                    PartitionRequest(self.shard, *request, unconfirmed.get(shard, [])),
+                    REQUEST_INTERVAL_S,
+                )
         if not self.shard:
             self._fleet_summary.step(now)
-        elif 0 not in self._pending_calls and now >= self._next_ask[0]:
-            again_s = SUMMARY_INTERVAL_S if scheduler.cluster.types else EARLY_S
-            self._call(0, self._reporter.summary(now), again_s)
+        elif 0 not in self._pending_calls and now >= self._next_call_at[0]:
+            interval_s = (
+                SUMMARY_INTERVAL_S if scheduler.cluster.types else STARTUP_SUMMARY_INTERVAL_S
+            )
+            self._call(0, self._reporter.summary(now), interval_s)
 
     def view(self) -> dict[str, Any]:
-        """Figures of this shard for operators (``/nodes``)."""
+        """This shard's figures for operators, shown under ``/nodes``."""
         found: dict[str, Any] = {
             "divided": len(self._partitions),
             "waiting": sum(shortage.tasks for shortage in self._scheduler.fleet.shortages),
