--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -207,7 +207,7 @@
     return trail
 
 
-def build(
+def create_counted_resources(
     operator: OperatorSettings,
     replayer: LogReplayer,
     write_ahead_log: WriteAheadLog,
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -124,9 +124,9 @@
     if term.shard or (not context.operator.seats and not replayer.counted_resources):
         return None
     # Imported only where resources are counted.
-    from appleshift.counted_resources.scheduler_part import build
+    from appleshift.counted_resources.counted_resource_scheduler import create_counted_resources
 
-    return build(
+    return create_counted_resources(
         context.operator,
         replayer,
         write_ahead_log,
--- a/tests/counted_resources/test_counted_resources_model.py
+++ b/tests/counted_resources/test_counted_resources_model.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from appleshift.counted_resources.scheduler_part import CountedResourceScheduler
+from appleshift.counted_resources.counted_resource_scheduler import CountedResourceScheduler
 from appleshift.scheduler.scheduler import Scheduler
 from tests.counted_resources.test_counted_resources_simulation import give_at_the_kill_order
 from tests.support.counted_resources_model import SeatsMachine
