--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -97,7 +97,10 @@
                 # for one resource, all of it held by services, left three units
                 # of another idle for minutes.
                 continue
-            own = any(count > ledger.resources[r].room(job.team) for r, count in needs.items())
+            own = any(
+                count > ledger.resources[r].remaining_for_team(job.team)
+                for r, count in needs.items()
+            )
             turns.append(WaitingJob(job, since, needs, False, len(job.runs), own))
         return turns
 
@@ -157,7 +160,7 @@
         for number, count in job.counted_needs:
             kept, of_team = self._kept(job, number)
             resource = self._ledger.resources[number]
-            free = min(self._left(number) - kept, resource.room(job.team) - of_team)
+            free = min(self._left(number) - kept, resource.remaining_for_team(job.team) - of_team)
             most = min(most, max(0, free) // count)
         return 0 if job.gang and most < len(job.pending) else most
 
@@ -166,8 +169,8 @@
         tasks = len(job.pending) if job.gang else 1
         resources = self._ledger.resources
         return any(
-            any(resources[number].guarantee)
-            and resources[number].borrows(job.team, count * tasks) > 0
+            any(resources[number].team_guarantees)
+            and resources[number].units_over_guarantee(job.team, count * tasks) > 0
             for number, count in job.counted_needs
         )
 
@@ -220,7 +223,10 @@
         if not urgent or job.index in self._ledger.promises or (job.gang and job.runs):
             return []
         resources = self._ledger.resources
-        most = min(resources[number].room(job.team) // count for number, count in job.counted_needs)
+        most = min(
+            resources[number].remaining_for_team(job.team) // count
+            for number, count in job.counted_needs
+        )
         step = tasks if job.gang else 1
         chosen: list[TaskRun] = []
         # What it is granted in this pass is still to be placed.
@@ -248,7 +254,7 @@
             missing -= self._spare_coming(number) + freed[number]
             if missing <= 0:
                 continue
-            borrows = resource.borrows(job.team, count * tasks) > 0
+            borrows = resource.units_over_guarantee(job.team, count * tasks) > 0
             borrowers = set() if borrows else self._borrowers(job, number)
 
             def may(run: TaskRun, borrowers: set[int] = borrowers) -> bool:
@@ -262,11 +268,11 @@
                 seats = len(some) * dict(victim.counted_needs)[number]
                 if some[0] in chosen:
                     continue
-                if victim.rank <= job.rank or (borrows and resource.guarantee[victim.team]):
+                if victim.rank <= job.rank or (borrows and resource.team_guarantees[victim.team]):
                     # Only what is beyond the other team's own guarantee. Once a
                     # critical job that borrowed and one that was owed stopped
                     # each other 150 times in four minutes.
-                    if resource.borrows(victim.team) - owed[victim.team] < seats:
+                    if resource.units_over_guarantee(victim.team) - owed[victim.team] < seats:
                         continue
                     owed[victim.team] += seats
                 chosen += some
@@ -280,8 +286,10 @@
     def _borrowers(self, job: Job, number: int) -> set[int]:
         """Teams that hold beyond their guarantee what this job's team is owed."""
         resource = self._ledger.resources[number]
-        teams = range(len(resource.teams))
-        return {team for team in teams if team != job.team and resource.borrows(team) > 0}
+        teams = range(len(resource.held_by_team))
+        return {
+            team for team in teams if team != job.team and resource.units_over_guarantee(team) > 0
+        }
 
     def _candidates(self, number: int, may: Callable[[TaskRun], bool]) -> Iterator[list[TaskRun]]:
         """Holders that may stop, a gang whole: the least urgent, then what loses least."""
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -29,7 +29,15 @@
 class CountedResource:
     """One counted resource."""
 
-    __slots__ = ("definition", "guarantee", "held", "name", "reservation", "team_limits", "teams")
+    __slots__ = (
+        "definition",
+        "held",
+        "held_by_team",
+        "name",
+        "reservation",
+        "team_guarantees",
+        "team_limits",
+    )
 
     def __init__(
         self,
@@ -44,13 +52,13 @@
         self.definition = definition
         self.reservation = reservation
         self.held = 0
-        self.teams = [0] * len(cluster.teams)
+        self.held_by_team = [0] * len(cluster.teams)
         self.team_limits = [0] * len(cluster.teams)
-        self.guarantee = [0] * len(cluster.teams)
+        self.team_guarantees = [0] * len(cluster.teams)
         for team in definition.teams if definition is not None else ():
             number = cluster.team_names.get(team.name)
             if number >= 0:
-                self.team_limits[number], self.guarantee[number] = team.most, team.guarantee
+                self.team_limits[number], self.team_guarantees[number] = team.most, team.guarantee
 
     @property
     def total(self) -> int:
@@ -63,7 +71,7 @@
             return self.total
         return min(self.total, self.reservation.capacity(now, self.total))
 
-    def planning(self) -> int:
+    def planning_capacity(self) -> int:
         """Units that machines are worth renting for."""
         if self.reservation is None or self.reservation.standing is None:
             return self.total
@@ -75,14 +83,14 @@
         pending = 0 if self.reservation is None else self.reservation.pending()
         return self.capacity(now) - self.held - pending
 
-    def room(self, team: int) -> int:
+    def remaining_for_team(self, team: int) -> int:
         """What a team's own limit leaves."""
         most = self.team_limits[team]
-        return max(0, most - self.teams[team]) if most else self.total
+        return max(0, most - self.held_by_team[team]) if most else self.total
 
-    def borrows(self, team: int, more: int = 0) -> int:
+    def units_over_guarantee(self, team: int, more: int = 0) -> int:
         """How far beyond its guarantee a team is, or would be."""
-        return self.teams[team] + more - self.guarantee[team]
+        return self.held_by_team[team] + more - self.team_guarantees[team]
 
 
 @dataclass(slots=True)
@@ -140,7 +148,7 @@
         """How many of a job's tasks can ever hold what they need at once."""
         tasks = spec.tasks
         for number, count in self.needs_of(spec):
-            tasks = min(tasks, self.resources[number].planning() // count)
+            tasks = min(tasks, self.resources[number].planning_capacity() // count)
         return tasks
 
     def assigned(self, run: TaskRun) -> None:
@@ -153,7 +161,7 @@
             resource.held += count
             if promise is not None:
                 promise.needs[number] = max(0, promise.needs.get(number, 0) - count)
-            resource.teams[job.team] += count
+            resource.held_by_team[job.team] += count
             if resource.reservation is not None:
                 resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
 
@@ -165,7 +173,7 @@
         for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held -= count
-            resource.teams[job.team] -= count
+            resource.held_by_team[job.team] -= count
             if resource.reservation is not None:
                 # A start that never left this process left no trace anywhere.
                 started = run.assignment_durable or not run.ordered_this_term
@@ -207,7 +215,7 @@
 
         Returns tasks by job and units by resource: what can be in use at once.
         """
-        left = [resource.planning() for resource in self.resources]
+        left = [resource.planning_capacity() for resource in self.resources]
         team_left = [
             [most or resource.total for most in resource.team_limits] for resource in self.resources
         ]
@@ -253,12 +261,14 @@
             "teams": [
                 {
                     "name": name,
-                    "held": resource.teams[team],
+                    "held": resource.held_by_team[team],
                     "most": resource.team_limits[team],
-                    "guarantee": resource.guarantee[team],
+                    "guarantee": resource.team_guarantees[team],
                 }
                 for team, name in enumerate(names)
-                if resource.teams[team] or resource.team_limits[team] or resource.guarantee[team]
+                if resource.held_by_team[team]
+                or resource.team_limits[team]
+                or resource.team_guarantees[team]
             ],
             "jobs": [list(row) for row in holders],
         }
