--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -73,22 +73,22 @@
         """Promises first, then what starves, the oldest first."""
         ledger, now = self._ledger, self._now
         turns = []
-        for index, promise in list(ledger.promises.items()):
+        for index, commitment in list(ledger.commitments.items()):
             job = self._waits(index)
-            if job is None or promise.until < now or not any(promise.needs.values()):
-                del ledger.promises[index]
+            if job is None or commitment.expires_at < now or not any(commitment.units.values()):
+                del ledger.commitments[index]
             else:
-                turns.append(WaitingJob(job, now, promise.needs, True, len(job.runs), False))
+                turns.append(WaitingJob(job, now, commitment.units, True, len(job.runs), False))
         lasting = self._lasting()
-        for index, since in sorted(ledger.waiting.items(), key=lambda entry: entry[1]):
+        for index, since in sorted(ledger.waiting_since.items(), key=lambda entry: entry[1]):
             job = self._waits(index)
             if job is None:
-                del ledger.waiting[index]
-                ledger.ready.pop(index, None)
+                del ledger.waiting_since[index]
+                ledger.ready_since.pop(index, None)
                 continue
             if now - since < self._starve_s or len(turns) >= KEPT_FOR:
                 continue
-            if index in ledger.promises or job.backoff_until > now or (job.gang and job.runs):
+            if index in ledger.commitments or job.backoff_until > now or (job.gang and job.runs):
                 continue
             needs = self._needs(job)
             ever = {r: ledger.resources[r].capacity(now) - lasting[r] for r in needs}
@@ -107,7 +107,7 @@
     def _lasting(self) -> Counter[int]:
         """Units of work that need never end, by resource."""
         lasting: Counter[int] = Counter()
-        for job in self._ledger.holding.values() if self._ledger.waiting else ():
+        for job in self._ledger.jobs_with_units.values() if self._ledger.waiting_since else ():
             for number, count in job.counted_needs if job.service else ():
                 lasting[number] += count * len(job.runs)
         return lasting
@@ -177,13 +177,13 @@
     def no_machine_for(self, job: Job) -> None:
         """The job could have its units but found no machine; after a while its turn passes."""
         ledger = self._ledger
-        since = ledger.ready.setdefault(job.index, self._now)
+        since = ledger.ready_since.setdefault(job.index, self._now)
         if self._now - since > TURN_S:
             # It had its turn. What is kept for it any longer lies idle.
-            del ledger.ready[job.index]
-            ledger.promises.pop(job.index, None)
-            if job.index in ledger.waiting:
-                ledger.waiting[job.index] = self._now
+            del ledger.ready_since[job.index]
+            ledger.commitments.pop(job.index, None)
+            if job.index in ledger.waiting_since:
+                ledger.waiting_since[job.index] = self._now
 
     def close(self) -> None:
         """End of the pass: remember who lacked units and since when."""
@@ -192,11 +192,11 @@
             job = self._waits(index)
             started = job is not None and len(job.runs) > before
             if job is None or started:
-                ledger.waiting.pop(index, None)
-                ledger.ready.pop(index, None)
+                ledger.waiting_since.pop(index, None)
+                ledger.ready_since.pop(index, None)
             if job is not None and index in self._lacking:
                 # Work that got some of its tasks started does not starve.
-                ledger.waiting.setdefault(index, self._now)
+                ledger.waiting_since.setdefault(index, self._now)
 
     # -- whom to stop -----------------------------------------------------------------------
 
@@ -219,8 +219,8 @@
     def tasks_lacking(self, job: Job, tasks: int, urgent: bool) -> list[TaskRun]:
         """Note that tasks lack units; returns task runs to stop for them if ``urgent``."""
         self._lacking.add(job.index)
-        self._ledger.ready.pop(job.index, None)
-        if not urgent or job.index in self._ledger.promises or (job.gang and job.runs):
+        self._ledger.ready_since.pop(job.index, None)
+        if not urgent or job.index in self._ledger.commitments or (job.gang and job.runs):
             return []
         resources = self._ledger.resources
         most = min(
@@ -241,7 +241,7 @@
         if chosen:
             needs = {number: made * count for number, count in job.counted_needs}
             grace = max(stop_grace_s(run) for run in chosen)
-            self._ledger.promises[job.index] = Commitment(self._now + grace + PROMISE_S, needs)
+            self._ledger.commitments[job.index] = Commitment(self._now + grace + PROMISE_S, needs)
         return chosen
 
     def _room_for(self, job: Job, tasks: int) -> list[TaskRun] | None:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
@@ -324,7 +324,7 @@
         """Units of work that is being stopped, by resource."""
         if self._coming is None:
             self._coming = Counter()
-            for job in self._ledger.holding.values():
+            for job in self._ledger.jobs_with_units.values():
                 stopping = sum(1 for run in job.runs.values() if run.stop_grace_s is not None)
                 for number, count in job.counted_needs if stopping else ():
                     self._coming[number] += count * stopping
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -96,7 +96,9 @@
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
         """By job index: how many of its tasks can hold what they need at once."""
-        return self.allocate([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
+        return self.plan_allocation(
+            [job for job in jobs if job.counted_needs and job.status == OPEN]
+        )[0]
 
     # -- time --------------------------------------------------------------------------
 
@@ -105,7 +107,7 @@
         if now < self._next_look:
             return False
         self._next_look = now + LOOK_S
-        return bool(self.waiting)
+        return bool(self.waiting_since)
 
     def reservation_requests(self, now: float) -> list[PendingReservationRequest]:
         """Heartbeats to license servers that are due."""
@@ -165,12 +167,12 @@
 
     def view(self, now: float) -> dict[str, Any]:
         """All resources, for operators."""
-        rows = [self.ledger_view(number, now) for number in range(len(self.resources))]
+        rows = [self.truncated_resource_view(number, now) for number in range(len(self.resources))]
         return {"resources": rows, "starving_after_s": self.rules.starve_s}
 
-    def ledger_view(self, number: int, now: float) -> dict[str, Any]:
+    def truncated_resource_view(self, number: int, now: float) -> dict[str, Any]:
         """One resource as the ledger shows it, with what waits for it."""
-        row = self.view_of(number, now)
+        row = self.resource_view(number, now)
         most = max(1, MAX_SHOWN // max(1, len(self.resources)))
         row["jobs_not_shown"] = max(0, len(row["jobs"]) - most)
         row["jobs"] = row["jobs"][:most]
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -97,8 +97,8 @@
 class Commitment:
     """What was stopped for a job is its own, until some time."""
 
-    until: float
-    needs: dict[int, int]
+    expires_at: float
+    units: dict[int, int]
 
 
 class Ledger:
@@ -111,11 +111,11 @@
         self.resources: list[CountedResource] = []
         # Jobs of which some task holds a unit, and of which some waits for one:
         # since when.
-        self.holding: dict[int, Job] = {}
-        self.waiting: dict[int, float] = {}
+        self.jobs_with_units: dict[int, Job] = {}
+        self.waiting_since: dict[int, float] = {}
         # By job: since when its units were there for the asking, without a machine.
-        self.ready: dict[int, float] = {}
-        self.promises: dict[int, Commitment] = {}
+        self.ready_since: dict[int, float] = {}
+        self.commitments: dict[int, Commitment] = {}
 
     def define(
         self, definition: CountedResourceDefinition, reservation: LicenseReservation | None
@@ -154,13 +154,13 @@
     def assigned(self, run: TaskRun) -> None:
         """A task run was assigned and holds its units from now on."""
         job = run.job
-        self.holding[job.index] = job
-        promise = self.promises.get(job.index)
+        self.jobs_with_units[job.index] = job
+        commitment = self.commitments.get(job.index)
         for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held += count
-            if promise is not None:
-                promise.needs[number] = max(0, promise.needs.get(number, 0) - count)
+            if commitment is not None:
+                commitment.units[number] = max(0, commitment.units.get(number, 0) - count)
             resource.held_by_team[job.team] += count
             if resource.reservation is not None:
                 resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
@@ -169,7 +169,7 @@
         """A task run is certainly gone; its units are free."""
         job = run.job
         if not job.runs:
-            self.holding.pop(job.index, None)
+            self.jobs_with_units.pop(job.index, None)
         for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held -= count
@@ -204,13 +204,13 @@
     def holders(self, number: int) -> list[tuple[Job, int]]:
         """Jobs that hold units of a resource, and how many."""
         found = []
-        for job in self.holding.values():
+        for job in self.jobs_with_units.values():
             count = dict(job.counted_needs).get(number, 0) * len(job.runs)
             if count:
                 found.append((job, count))
         return found
 
-    def allocate(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
+    def plan_allocation(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
         """Units for jobs in their order of urgency, those that hold some first.
 
         Returns tasks by job and units by resource: what can be in use at once.
@@ -239,12 +239,12 @@
                 tasks_of[job.index] = tasks_of.get(job.index, 0) + most
         return tasks_of, used
 
-    def view_of(self, number: int, now: float) -> dict[str, Any]:
+    def resource_view(self, number: int, now: float) -> dict[str, Any]:
         """One resource, for operators."""
         resource = self.resources[number]
         waiting = sum(
             len(job.pending) * dict(job.counted_needs).get(number, 0)
-            for index in self.waiting
+            for index in self.waiting_since
             if (job := self.cluster.jobs.get(index)) is not None
         )
         names = self.cluster.team_names.names
