--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -20,34 +20,34 @@
 from appleshift.state.entities import Job, TaskRun
 from appleshift.state.states import ASSIGNED, EXITED, OPEN
 
-KEPT_FOR = 8
+MAX_EARMARKS = 8
 """So many jobs have units kept at once; the others stand in line behind them."""
-PER_RANK = 3.0
+STARVE_FACTOR_PER_RANK = 3.0
 """More urgent work yields to what starves only after this many times longer for
 each rank between them."""
-TURN_S = 60.0
+EARMARK_TIMEOUT_S = 60.0
 """A job that has its units and finds no machine gives way after so long, which
 is longer than machines take to come."""
-PROMISE_S = 10.0
+COMMITMENT_MARGIN_S = 10.0
 """Units of work that was stopped are the stopper's for so long, beyond its grace."""
 
 
 @dataclass(slots=True)
-class WaitingJob:
+class Earmark:
     """A job for which units are kept."""
 
     job: Job
-    since: float
-    needs: dict[int, int]
-    promised: bool
-    runs: int
-    own: bool
+    waiting_since: float
+    units: dict[int, int]
+    is_committed: bool
+    initial_run_count: int
+    limited_by_team: bool
     """Its own team's limit is in its way: only that team leaves anything for it,
     for what others left would lie idle."""
 
-    def over(self) -> bool:
+    def is_started(self) -> bool:
         """It got its start in this pass."""
-        return not self.promised and len(self.job.runs) > self.runs
+        return not self.is_committed and len(self.job.runs) > self.initial_run_count
 
 
 class Allocator:
@@ -64,21 +64,21 @@
         self._lacking: set[int] = set()
         # Jobs that asked, with the tasks they had on machines by then.
         self._asked: dict[int, int] = {}
-        self._turns = self._enqueue_waiting()
+        self._earmarks = self._enqueue_waiting()
         self._coming: Counter[int] | None = None
 
     # -- who is kept for -------------------------------------------------------------
 
-    def _enqueue_waiting(self) -> list[WaitingJob]:
+    def _enqueue_waiting(self) -> list[Earmark]:
         """Promises first, then what starves, the oldest first."""
         ledger, now = self._ledger, self._now
-        turns = []
+        earmarks = []
         for index, commitment in list(ledger.commitments.items()):
             job = self._waits(index)
             if job is None or commitment.expires_at < now or not any(commitment.units.values()):
                 del ledger.commitments[index]
             else:
-                turns.append(WaitingJob(job, now, commitment.units, True, len(job.runs), False))
+                earmarks.append(Earmark(job, now, commitment.units, True, len(job.runs), False))
         lasting = self._lasting()
         for index, since in sorted(ledger.waiting_since.items(), key=lambda entry: entry[1]):
             job = self._waits(index)
@@ -86,7 +86,7 @@
                 del ledger.waiting_since[index]
                 ledger.ready_since.pop(index, None)
                 continue
-            if now - since < self._starve_s or len(turns) >= KEPT_FOR:
+            if now - since < self._starve_s or len(earmarks) >= MAX_EARMARKS:
                 continue
             if index in ledger.commitments or job.backoff_until > now or (job.gang and job.runs):
                 continue
@@ -101,8 +101,8 @@
                 count > ledger.resources[r].remaining_for_team(job.team)
                 for r, count in needs.items()
             )
-            turns.append(WaitingJob(job, since, needs, False, len(job.runs), own))
-        return turns
+            earmarks.append(Earmark(job, since, needs, False, len(job.runs), own))
+        return earmarks
 
     def _lasting(self) -> Counter[int]:
         """Units of work that need never end, by resource."""
@@ -122,11 +122,13 @@
         tasks = len(job.pending) if job.gang else 1
         return {number: count * tasks for number, count in job.counted_needs}
 
-    def _yields(self, job: Job, turn: WaitingJob) -> bool:
+    def _yields(self, job: Job, earmark: Earmark) -> bool:
         """Must this job leave what is kept for that one?"""
-        ranks = max(0, turn.job.rank - job.rank)
-        waited = self._now - turn.since
-        return turn.promised or waited >= self._starve_s * (1.0 + PER_RANK * ranks)
+        ranks = max(0, earmark.job.rank - job.rank)
+        waited = self._now - earmark.waiting_since
+        return earmark.is_committed or waited >= self._starve_s * (
+            1.0 + STARVE_FACTOR_PER_RANK * ranks
+        )
 
     def _kept(self, job: Job, number: int) -> tuple[int, int]:
         """Units kept for others, and for others of its team within the team's limit.
@@ -134,14 +136,14 @@
         Who stands in line yields only to those before.
         """
         kept = team = 0
-        for turn in self._turns:
-            if turn.job is job:
+        for earmark in self._earmarks:
+            if earmark.job is job:
                 break
-            if turn.over() or not self._yields(job, turn):
+            if earmark.is_started() or not self._yields(job, earmark):
                 continue
-            count = turn.needs.get(number, 0)
-            kept += 0 if turn.own else count
-            team += count if turn.job.team == job.team else 0
+            count = earmark.units.get(number, 0)
+            kept += 0 if earmark.limited_by_team else count
+            team += count if earmark.job.team == job.team else 0
         return kept, team
 
     def _open(self, job: Job, number: int) -> int:
@@ -175,11 +177,11 @@
         )
 
     def no_machine_for(self, job: Job) -> None:
-        """The job could have its units but found no machine; after a while its turn passes."""
+        """The job could have its units but found no machine; after a while its earmark passes."""
         ledger = self._ledger
         since = ledger.ready_since.setdefault(job.index, self._now)
-        if self._now - since > TURN_S:
-            # It had its turn. What is kept for it any longer lies idle.
+        if self._now - since > EARMARK_TIMEOUT_S:
+            # It had its earmark. What is kept for it any longer lies idle.
             del ledger.ready_since[job.index]
             ledger.commitments.pop(job.index, None)
             if job.index in ledger.waiting_since:
@@ -241,7 +243,9 @@
         if chosen:
             needs = {number: made * count for number, count in job.counted_needs}
             grace = max(stop_grace_s(run) for run in chosen)
-            self._ledger.commitments[job.index] = Commitment(self._now + grace + PROMISE_S, needs)
+            self._ledger.commitments[job.index] = Commitment(
+                self._now + grace + COMMITMENT_MARGIN_S, needs
+            )
         return chosen
 
     def _room_for(self, job: Job, tasks: int) -> list[TaskRun] | None:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
@@ -332,6 +336,8 @@
 
     def _spare_coming(self, number: int) -> int:
         """Units that stops will free and that nobody was committed."""
-        promised = sum(turn.needs.get(number, 0) for turn in self._turns if turn.promised)
+        promised = sum(
+            earmark.units.get(number, 0) for earmark in self._earmarks if earmark.is_committed
+        )
         owed = max(0, promised - max(0, self._left(number)))
         return max(0, self._all_coming()[number] - owed)
