--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -86,7 +86,7 @@
         reservations = [each.reservation for each in self.resources if each.reservation is not None]
         for name, attempt in self.audit_log.returns() if reservations else ():
             for reservation in reservations:
-                reservation.returned_before(holder_name(name, attempt))
+                reservation.add_unconfirmed_return(holder_name(name, attempt))
 
     # -- passes ------------------------------------------------------------------------
 
@@ -114,7 +114,7 @@
         served = [
             (number, resource.reservation)
             for number, resource in enumerate(self.resources)
-            if resource.reservation is not None and resource.reservation.may_ask(now)
+            if resource.reservation is not None and resource.reservation.may_send_request(now)
         ]
         if not served:
             return []
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -73,14 +73,14 @@
 
     def planning_capacity(self) -> int:
         """Units that machines are worth renting for."""
-        if self.reservation is None or self.reservation.standing is None:
+        if self.reservation is None or self.reservation.last_reply is None:
             return self.total
-        standing = self.reservation.standing
+        standing = self.reservation.last_reply
         return min(self.total, max(standing.reserved, standing.total - standing.others))
 
     def free(self, now: float) -> int:
         """Below 0 while a lowered total or a silent server leaves too little."""
-        pending = 0 if self.reservation is None else self.reservation.pending()
+        pending = 0 if self.reservation is None else self.reservation.pending_returns()
         return self.capacity(now) - self.held - pending
 
     def remaining_for_team(self, team: int) -> int:
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -7,7 +7,10 @@
 from typing import Any
 
 from appleshift.contracts import events
-from appleshift.counted_resources.license_reservation import ANSWER_S, PendingReservationRequest
+from appleshift.counted_resources.license_reservation import (
+    REPLY_TIMEOUT_S,
+    PendingReservationRequest,
+)
 from appleshift.protocol import license_server
 from appleshift.protocol.settings import split_address
 from appleshift.protocol.wire import ProtocolError
@@ -54,7 +57,7 @@
             if self._entitled():
                 path = license_server.reservation_path(ask.resource)
                 body = license_server.encode_reservation_request(ask.heartbeat)
-                status, answer = client.request("POST", path, body, ANSWER_S)
+                status, answer = client.request("POST", path, body, REPLY_TIMEOUT_S)
                 if status == 200:
                     standing = license_server.decode_reservation_reply(answer)
                 else:
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -31,11 +31,11 @@
 
 log = logging.getLogger(__name__)
 
-DRIFT = 1.002
+CLOCK_DRIFT_RATIO = 1.002
 SERIAL_BITS = 24
-ANSWER_S = 3.0
+REPLY_TIMEOUT_S = 3.0
 """So long may a heartbeat take; after that its answer no longer counts."""
-EAGER = 0.1
+MIN_REQUEST_INTERVAL_SHARE = 0.1
 """News is told after this share of the usual interval."""
 
 
@@ -55,10 +55,10 @@
         """For one term; serial numbers begin with its fencing token."""
         self.resource = resource
         self.server = server
-        self.standing: ReservationReply | None = None
-        self.sent_at = float("-inf")
+        self.last_reply: ReservationReply | None = None
+        self.last_reply_requested_at = float("-inf")
         """When the heartbeat was sent that the server last answered."""
-        self.refused: str | None = None
+        self.rejection_reason: str | None = None
         self._serial = token << SERIAL_BITS
         self._asking: ReservationRequest | None = None
         self._asked_at = float("-inf")
@@ -86,7 +86,7 @@
         if started:
             self._return(holder, count)
 
-    def returned_before(self, holder: str) -> None:
+    def add_unconfirmed_return(self, holder: str) -> None:
         """The log says that it was given back; whether the server knows is not known."""
         if holder not in self._holders:
             self._unsure[holder] = None
@@ -96,43 +96,45 @@
             self._returning[holder] = count
             self._pending += count
 
-    def pending(self) -> int:
+    def pending_returns(self) -> int:
         """Units given back that the server may still count as ours."""
         return self._pending
 
     def capacity(self, now: float, total: int) -> int:
         """Units that may be held of the reservation right now."""
         trusts = self.server.on_silence == TRUST
-        if self.standing is None:
-            return total if trusts and self.refused is None and self._silent(now) else 0
-        if not (self.valid(now) or trusts):
+        if self.last_reply is None:
+            return total if trusts and self.rejection_reason is None and self._silent(now) else 0
+        if not (self.is_valid(now) or trusts):
             return 0
-        reserved = self.standing.reserved
+        reserved = self.last_reply.reserved
         return reserved if self._unsettled is None else min(reserved, self._unsettled)
 
     def _silent(self, now: float) -> bool:
         """It never answered in this term, though it was asked long enough."""
         return self._first_asked is not None and now - self._first_asked > self.server.silent_s
 
-    def valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether the last reply of the server still holds at ``now``."""
-        if self.standing is None:
+        if self.last_reply is None:
             return False
-        return now <= self.sent_at + min(self.server.silent_s, self.standing.ttl_s / DRIFT)
+        return now <= self.last_reply_requested_at + min(
+            self.server.silent_s, self.last_reply.ttl_s / CLOCK_DRIFT_RATIO
+        )
 
     # -- the server ------------------------------------------------------------------
 
-    def may_ask(self, now: float) -> bool:
+    def may_send_request(self, now: float) -> bool:
         """No heartbeat is under way, nor was one sent just now."""
-        if self._asking is not None and now - self._asked_at < ANSWER_S:
+        if self._asking is not None and now - self._asked_at < REPLY_TIMEOUT_S:
             return False
-        return now - self._asked_at >= self.server.ask_s * EAGER
+        return now - self._asked_at >= self.server.ask_s * MIN_REQUEST_INTERVAL_SHARE
 
     def request_due(self, now: float, want: int) -> bool:
         """Is it time for a heartbeat, since something changed or by itself?"""
         news = bool(self._returning or self._unsure)
-        news = news or self.standing is None or want > self.standing.reserved
-        return self.may_ask(now) and (news or now - self._asked_at >= self.server.ask_s)
+        news = news or self.last_reply is None or want > self.last_reply.reserved
+        return self.may_send_request(now) and (news or now - self._asked_at >= self.server.ask_s)
 
     def next_request(self, now: float, want: int) -> PendingReservationRequest:
         """The next heartbeat; reserves ``want``, but no less than may be in use."""
@@ -154,18 +156,18 @@
             # Late, or of an earlier request: what it says is out of date.
             return False
         self._asking = None
-        if now - self._asked_at > ANSWER_S:
+        if now - self._asked_at > REPLY_TIMEOUT_S:
             return False
         if standing is None or standing.serial != serial:
             return False
         wrong = self._wrong(asked, standing)
-        if wrong != self.refused:
+        if wrong != self.rejection_reason:
             if wrong is not None:
                 log.error("licence server of %s: %s: not counted", self.resource, wrong)
-            self.refused = wrong
+            self.rejection_reason = wrong
         if wrong is not None:
             return False
-        self.sent_at = self._asked_at
+        self.last_reply_requested_at = self._asked_at
         known = {entry.holder: entry.count for entry in standing.holders}
         for holder in asked.returned:
             self._unsure.pop(holder, None)
@@ -178,7 +180,7 @@
         self._unsettled = None
         # More than was asked for is not ours.
         reserved = min(standing.reserved, asked.reserve)
-        self.standing = msgspec.structs.replace(standing, reserved=reserved, holders=[])
+        self.last_reply = msgspec.structs.replace(standing, reserved=reserved, holders=[])
         return True
 
     @staticmethod
@@ -195,14 +197,14 @@
 
     def view(self, now: float) -> dict[str, Any]:
         """State of the reservation, for operators."""
-        standing = self.standing
+        standing = self.last_reply
         return {
             "address": self.server.address,
-            "stale": not self.valid(now),
-            "age_s": None if standing is None else round(now - self.sent_at, 1),
+            "stale": not self.is_valid(now),
+            "age_s": None if standing is None else round(now - self.last_reply_requested_at, 1),
             "total": None if standing is None else standing.total,
             "outside": None if standing is None else standing.others,
             "reserved": None if standing is None else standing.reserved,
             "returning": self._pending,
-            "refused": self.refused,
+            "refused": self.rejection_reason,
         }
