--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-CALLS = 4
+THREAD_COUNT = 4
 """Servers that are slow to answer must not keep the others waiting."""
 
 
@@ -32,16 +32,16 @@
         post: Callable[[events.Event], None],
         connect: Callable[[tuple[str, int]], HttpCaller],
         runtime: Runtime,
-        entitled: Callable[[], bool],
+        may_call: Callable[[], bool],
     ) -> None:
-        """``entitled`` is asked right before each request."""
+        """``may_call`` is asked right before each request."""
         self._post = post
         self._connect = connect
         # Asked again right before a heartbeat leaves: a node that was frozen
         # meanwhile may not lead any more. The server ignores its serial then,
         # but a heartbeat that never leaves can confuse nobody.
-        self._entitled = entitled
-        self._pool = ThreadPool(runtime, "licence-call", CALLS)
+        self._may_call = may_call
+        self._pool = ThreadPool(runtime, "licence-call", THREAD_COUNT)
         self._clients: dict[str, HttpCaller] = {}
 
     def send(self, ask: PendingReservationRequest, term: Any) -> None:
@@ -54,7 +54,7 @@
     def _send(self, client: HttpCaller, ask: PendingReservationRequest, term: Any) -> None:
         standing: license_server.ReservationReply | None = None
         try:
-            if self._entitled():
+            if self._may_call():
                 path = license_server.reservation_path(ask.resource)
                 body = license_server.encode_reservation_request(ask.heartbeat)
                 status, answer = client.request("POST", path, body, REPLY_TIMEOUT_S)
