--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -210,11 +210,11 @@
 
     try:
         if options.history:
-            for entry in display.history(query):
-                _print_entry(entry, display.line, options.json)
+            for entry in display.fetch_history(query):
+                _print_entry(entry, display.format_entry, options.json)
         else:
-            _print_entry(display.current(query), display.table, options.json)
-    except (ClientError, ProtocolError, ValueError, display.NotShownError) as error:
+            _print_entry(display.fetch_resources(query), display.format_resources, options.json)
+    except (ClientError, ProtocolError, ValueError, display.UnusableResponseError) as error:
         _print_error(f"{options.address}: {error}")
         return EXIT_FAILURE
     return EXIT_OK
--- a/appleshift/counted_resources/display.py
+++ b/appleshift/counted_resources/display.py
@@ -11,29 +11,29 @@
 from appleshift.counted_resources.audit_log import DEFINE
 from appleshift.state.name_index import from_ranges
 
-Ask = Callable[[str], tuple[int, Any]]
+HttpGet = Callable[[str], tuple[int, Any]]
 """Asks a node for a path; returns status and body."""
 
 
-class NotShownError(Exception):
+class UnusableResponseError(Exception):
     """A node gave no usable answer; the message says which path and why."""
 
 
-def _get(ask: Ask, path: str) -> Any:
+def _get(ask: HttpGet, path: str) -> Any:
     status, body = ask(path)
     if status != 200:
         reason = body.get("error", "") if isinstance(body, dict) else ""
-        raise NotShownError(f"{path}: {status} {reason}".rstrip())
+        raise UnusableResponseError(f"{path}: {status} {reason}".rstrip())
     return body
 
 
-def current(ask: Ask) -> dict[str, Any]:
-    """The resources as a node shows them now; NotShownError if it does not."""
+def fetch_resources(ask: HttpGet) -> dict[str, Any]:
+    """The resources as a node shows them now; UnusableResponseError if it does not."""
     view: dict[str, Any] = _get(ask, "/seats")
     return view
 
 
-def history(ask: Ask) -> Iterator[list[Any]]:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
+def fetch_history(ask: HttpGet) -> Iterator[list[Any]]:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
     """All entries of the audit that are kept, in order.
 
     Pages are written while this reads: what moved from the tail into a page
@@ -51,20 +51,22 @@
                 for entry in _get(ask, f"/seats/pages/{page}")["entries"]:
                     if entry[0] > seen:
                         if seen >= 0 and entry[0] > seen + 1:
-                            raise NotShownError(f"entries {seen + 1} to {entry[0] - 1} are gone")
+                            raise UnusableResponseError(
+                                f"entries {seen + 1} to {entry[0] - 1} are gone"
+                            )
                         seen = entry[0]
                         yield entry
         for entry in entries:
             if entry[0] > seen:
                 if seen >= 0 and entry[0] > seen + 1:
-                    raise NotShownError(f"entries {seen + 1} to {entry[0] - 1} are gone")
+                    raise UnusableResponseError(f"entries {seen + 1} to {entry[0] - 1} are gone")
                 seen = entry[0]
                 yield entry
         if not answer["more"]:
             return
 
 
-def table(view: dict[str, Any]) -> str:
+def format_resources(view: dict[str, Any]) -> str:
     """What is held, by team and by job, and how old the knowledge is."""
     rows = []
     notes = []
@@ -111,7 +113,7 @@
     return "\n\n".join([*parts, "\n".join(notes)] if notes else parts)
 
 
-def line(entry: list[Any]) -> str:
+def format_entry(entry: list[Any]) -> str:
     """One entry of the audit: number, UTC time, what happened."""
     number, wall, kind, *about = entry
     when = datetime.fromtimestamp(wall, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
