--- a/appleshift/counted_resources/audit_log.py
+++ b/appleshift/counted_resources/audit_log.py
@@ -16,7 +16,7 @@
 from appleshift.storage.records import Record
 
 GRANT, RETURN, DEFINE = "grant", "return", "define"
-TASKS_AN_ENTRY = 100
+MAX_TASKS_PER_ENTRY = 100
 
 _FIELDS = Submission.__struct_fields__
 _SEATS, _ID = _FIELDS.index("counted_resources"), _FIELDS.index("id")
@@ -43,10 +43,10 @@
 
     def __init__(self, written: int = 0) -> None:
         """``written``: number of entries that the stored pages hold."""
-        self.next = written
+        self.next_number = written
         self.tail: list[Entry] = []
         """Entries that no page holds yet."""
-        self.counted: set[str] = set()
+        self.counted_names: set[str] = set()
         self._jobs: dict[int, _Holder] = {}
 
     def apply(self, record: Record) -> None:
@@ -83,9 +83,9 @@
     def _define(self, record: Record) -> None:
         _, wall, name, definition = record
         if definition is None:
-            self.counted.discard(name)
+            self.counted_names.discard(name)
         else:
-            self.counted.add(name)
+            self.counted_names.add(name)
         if wall > 0.0:
             self._add(wall, DEFINE, [name, definition])
 
@@ -102,10 +102,10 @@
                 )
 
     def _add(self, wall: float, kind: str, about: list[Any]) -> None:
-        self.tail.append([self.next, wall, kind, *about])
-        self.next += 1
+        self.tail.append([self.next_number, wall, kind, *about])
+        self.next_number += 1
 
-    def returns(self) -> list[tuple[str, int]]:
+    def returned_attempts(self) -> list[tuple[str, int]]:
         """Tasks and attempts that gave units back, as far as the tail goes."""
         return [
             (f"{entry[3]}/{task}", entry[5])
@@ -114,6 +114,6 @@
             for task in from_ranges(entry[4])
         ]
 
-    def saved(self, upto: int) -> None:
+    def drop_saved_entries(self, upto: int) -> None:
         """Pages hold all entries below this number now."""
         self.tail = [entry for entry in self.tail if entry[0] >= upto]
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -84,7 +84,7 @@
     def end_recovery(self) -> None:
         """After that: what the servers may not know to be given back."""
         reservations = [each.reservation for each in self.resources if each.reservation is not None]
-        for name, attempt in self.audit_log.returns() if reservations else ():
+        for name, attempt in self.audit_log.returned_attempts() if reservations else ():
             for reservation in reservations:
                 reservation.add_unconfirmed_return(holder_name(name, attempt))
 
@@ -155,7 +155,7 @@
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
         """Entries of the audit that no stored page holds yet."""
-        self.audit_log.saved(self._write_ahead_log.header.audit_pages[2])
+        self.audit_log.drop_saved_entries(self._write_ahead_log.header.audit_pages[2])
         return list(self.audit_log.tail)
 
     @property
@@ -182,7 +182,7 @@
         """The audit's entries above a number that no page holds yet, as many as an
         answer takes, and which pages hold what came before."""
         first, following, written = self._write_ahead_log.header.audit_pages
-        self.audit_log.saved(written)
+        self.audit_log.drop_saved_entries(written)
         entries: list[list[Any]] = []
         size = 0
         for entry in self.audit_log.tail:
@@ -192,7 +192,7 @@
             if size > MAX_BODY // 2 and entries:
                 break
             entries.append(entry)
-        more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next
+        more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next_number
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
