--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -117,7 +117,7 @@
         status, body = self._get("/machine_types")
         if status != 200:
             raise ClientError(f"machine types: {status}")
-        return cloud.decode_types(body)
+        return cloud.decode_machine_types(body)
 
     def _get(self, path: str) -> tuple[int, bytes]:
         self._rate_limiter.acquire()
@@ -154,7 +154,7 @@
             return RentalOutcome()
         status, response = self._client.request("POST", "/machines", body, CALL_TIMEOUT_S)
         if status == 200:
-            return RentalOutcome(names=cloud.decode_rented(response))
+            return RentalOutcome(names=cloud.decode_rented_machines(response))
         if status == 503 and _is_out_of_capacity(response):
             return RentalOutcome(refused=True)
         if status == 400:
@@ -202,7 +202,7 @@
         status, body = self._get("/machine_types")
         if status != 200:
             return False
-        self._post(events.MachineTypesListed(term, cloud.decode_types(body)))
+        self._post(events.MachineTypesListed(term, cloud.decode_machine_types(body)))
         return True
 
     def _list_machines(self, term: Any) -> int:
@@ -218,7 +218,7 @@
             pages += 1
             if status != 200:
                 return pages
-            page = cloud.decode_list(body)
+            page = cloud.decode_machine_list(body)
             rows += page.machines
             complete = complete and page.whole
             if not page.more:
--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -54,7 +54,7 @@
     fetch_gb_per_s: Positive = 0.0
 
 
-class TypeList(msgspec.Struct, frozen=True, rename={"types": "rig_kinds"}):
+class MachineTypesResponse(msgspec.Struct, frozen=True, rename={"types": "rig_kinds"}):
     """Answer to a request for all types."""
 
     types: list[MachineType]
@@ -97,24 +97,24 @@
     more: bool = False
 
 
-class Rented(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
+class RentalResponse(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
     """Answer to a request to rent: names of the new machines."""
 
     machines: list[str]
 
 
-_types = msgspec.msgpack.Decoder(TypeList)
+_types = msgspec.msgpack.Decoder(MachineTypesResponse)
 _list = msgspec.msgpack.Decoder(_RawList)
 _row = msgspec.msgpack.Decoder(ListedMachine)
-_rented = msgspec.msgpack.Decoder(Rented)
+_rented = msgspec.msgpack.Decoder(RentalResponse)
 
 
-def decode_types(body: bytes) -> list[MachineType]:
+def decode_machine_types(body: bytes) -> list[MachineType]:
     """Decode the types that can be rented; ProtocolError if malformed."""
     return decode_as(_types, body).types
 
 
-def decode_list(body: bytes) -> MachineList:
+def decode_machine_list(body: bytes) -> MachineList:
     """Decode a page of the list; ProtocolError if it is malformed as a whole.
 
     Row by row: one that is malformed must not hide hundreds of others.
@@ -129,7 +129,7 @@
     return MachineList(machines, page.more, len(machines) == len(page.rows))
 
 
-def decode_rented(body: bytes) -> list[str]:
+def decode_rented_machines(body: bytes) -> list[str]:
     """Decode the names of machines that were rented; ProtocolError if malformed."""
     return decode_as(_rented, body).machines
 
