--- a/appleshift/machines/rentals.py
+++ b/appleshift/machines/rentals.py
@@ -107,7 +107,7 @@
 
     def rent(self, type_index: int, zone: int, spot: bool, count: int) -> None:
         """Request up to ``count`` machines of a market, within the machine and request limits."""
-        count = min(count, cloud.MAX_RENT)
+        count = min(count, cloud.MAX_MACHINES_PER_RENTAL)
         if count > self.rentable_machines():
             self._log_machine_limit()
         count = min(count, self.rentable_machines())
--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -11,11 +11,11 @@
 FAILED = "failed"
 """State of a machine that stopped on its own; it stays listed until it is deleted."""
 
-MAX_RENT = 50
+MAX_MACHINES_PER_RENTAL = 50
 """Most machines that one request may rent."""
-MAX_DELETE = 100
+MAX_MACHINES_PER_DELETION = 100
 """Most machines that one request may delete."""
-MAX_LIST = 500
+MACHINES_PER_PAGE = 500
 """Most machines on one page of the list."""
 
 Positive = Annotated[float, msgspec.Meta(ge=0.0)]
@@ -153,4 +153,4 @@
 def list_path(after: str) -> str:
     """Path of the page that follows a machine's name; of the first one after ``""``."""
     query = f"after={after}&" if after else ""
-    return f"/machines?{query}limit={MAX_LIST}"
+    return f"/machines?{query}limit={MACHINES_PER_PAGE}"
--- a/appleshift/provisioning/scale_in.py
+++ b/appleshift/provisioning/scale_in.py
@@ -68,7 +68,7 @@
         return
     spare = SpareCapacity(pool, plan, required, on_demand_only)
     for machine in _idle_machines(pool):
-        if len(spare.chosen) >= cloud.MAX_DELETE:
+        if len(spare.chosen) >= cloud.MAX_MACHINES_PER_DELETION:
             break
         if now - machine.idle_since >= _idle_limit_s(pool, machine):
             spare.choose(machine)
--- a/appleshift/provisioning/scale_out.py
+++ b/appleshift/provisioning/scale_out.py
@@ -96,7 +96,7 @@
         if machine.zone in capacity:
             capacity[machine.zone] += pool.units(cluster.types[machine.type])
     counts = dict.fromkeys(open_zones, 0)
-    for _ in range(min(count, cloud.MAX_RENT)):
+    for _ in range(min(count, cloud.MAX_MACHINES_PER_RENTAL)):
         zone = min(open_zones, key=lambda zone: (capacity[zone], zone))
         counts[zone] += 1
         capacity[zone] += pool.units(cluster.types[type_index])
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -85,4 +85,4 @@
         zone = fleet.cluster.zones.get(name)
         if count > 0 and zone >= 0 and fleet.may_rent(type_index, zone, True):
             fleet.rent(type_index, zone, True, count)
-            count -= min(count, cloud.MAX_RENT)
+            count -= min(count, cloud.MAX_MACHINES_PER_RENTAL)
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -40,8 +40,8 @@
         """Emit deletion calls for the queued machines, if this node is still the leader."""
         scheduler = self._scheduler
         while self._pending and scheduler.lease.may_answer(scheduler.now):
-            batch = self._pending[: cloud.MAX_DELETE]
-            self._pending = self._pending[cloud.MAX_DELETE :]
+            batch = self._pending[: cloud.MAX_MACHINES_PER_DELETION]
+            self._pending = self._pending[cloud.MAX_MACHINES_PER_DELETION :]
             scheduler.actions.append(DeleteMachines(tuple(batch)))
 
     def answered(self, names: tuple[str, ...], ok: bool) -> None:
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -84,7 +84,7 @@
         return FleetPlan(
             scheduler.fencing_token,
             cluster.types,
-            sorted(self._leaving[summary.shard])[: cloud.MAX_DELETE],
+            sorted(self._leaving[summary.shard])[: cloud.MAX_MACHINES_PER_DELETION],
             fleet.on_demand_spare.get(False, 0.0) / plain,
             [(name, shard) for name, (shard, _) in moving.items()],
         )
