--- a/appleshift/protocol/kv.py
+++ b/appleshift/protocol/kv.py
@@ -27,13 +27,13 @@
 class Page(
     msgspec.Struct,
     frozen=True,
-    rename={"items": "rows", "more": "truncated", "revision": "ledger_no"},
+    rename={"items": "rows", "has_more": "truncated", "revision": "ledger_no"},
 ):
     """A page of the items with a prefix, as of one revision. ``more``: others follow."""
 
     items: list[Item]
     revision: int
-    more: bool = False
+    has_more: bool = False
 
 
 class TransactionDone(msgspec.Struct, frozen=True, rename={"revision": "ledger_no"}):
--- a/appleshift/storage/key_value_store.py
+++ b/appleshift/storage/key_value_store.py
@@ -100,7 +100,7 @@
         while True:
             page = self.read_page(prefix, after, PAGE_ITEMS)
             items += page.items
-            if not page.more or not page.items:
+            if not page.has_more or not page.items:
                 return items
             after = page.items[-1].key
 
