--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from appleshift.counted_resources.license_reservation import LicenseReservation
-from appleshift.protocol.counted_resources import CountedResourceDefinition, requested_counts
+from appleshift.protocol.counted_resources import CountedResourceDefinition, parse_requested_counts
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
 from appleshift.state.cluster_state import ClusterState
@@ -124,7 +124,7 @@
     def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         """What each task of a job holds: (resource index, count)."""
         try:
-            wanted = requested_counts(spec.counted_resources)
+            wanted = parse_requested_counts(spec.counted_resources)
         except ProtocolError:
             # Accepted while nothing was counted, so it was never read.
             return ()
@@ -176,7 +176,7 @@
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
         """HTTP status and reason if a submission can never get what it asks for; else None."""
         try:
-            wanted = requested_counts(spec.counted_resources)
+            wanted = parse_requested_counts(spec.counted_resources)
         except ProtocolError as error:
             return error.status, error.reason
         team = self.cluster.team_names.get(spec.team)
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -24,7 +24,7 @@
 from appleshift.protocol.counted_resources import TRUST, LicenseServer
 from appleshift.protocol.license_server import (
     ACCOUNT,
-    MAX_RETURNS,
+    MAX_RETURNED_HOLDERS,
     ReservationReply,
     ReservationRequest,
 )
@@ -140,7 +140,7 @@
         self._asked_at = now
         if self._first_asked is None:
             self._first_asked = now
-        returned = [*self._returning, *self._unsure][:MAX_RETURNS]
+        returned = [*self._returning, *self._unsure][:MAX_RETURNED_HOLDERS]
         reserve = max(want, sum(self._holders.values()) + self._pending)
         settled = self._unsettled
         self._unsettled = reserve if settled is None else min(settled, reserve)
--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -20,8 +20,8 @@
 from appleshift.protocol.counted_resources import (
     CountedResourceDefinition,
     CountedResourceRules,
-    from_record,
-    to_record,
+    definition_from_record,
+    definition_to_record,
 )
 from appleshift.protocol.license_server import ReservationReply
 from appleshift.protocol.operator import OperatorSettings
@@ -65,9 +65,9 @@
                 None if server is None else LicenseReservation(definition.name, server, token)
             )
             self.define(definition, reservation)
-            if replayer.counted_resources.get(definition.name) != to_record(definition):
+            if replayer.counted_resources.get(definition.name) != definition_to_record(definition):
                 record = records.counted_resource_record(
-                    definition.name, to_record(definition), wall
+                    definition.name, definition_to_record(definition), wall
                 )
                 write_ahead_log.append(record)
         for name in replayer.counted_resources.keys() - set(self.names.names):
@@ -146,7 +146,7 @@
         # Time 0: no change, so no entry of the audit.
         """Records that define the resources, for a snapshot."""
         return [
-            records.counted_resource_record(each.name, to_record(each.definition), 0.0)
+            records.counted_resource_record(each.name, definition_to_record(each.definition), 0.0)
             for each in self.resources
             if each.definition is not None
         ]
@@ -222,7 +222,9 @@
     rules = operator.seat_rules or CountedResourceRules()
     definitions = list(operator.seats)
     if not definitions and not rules.off:
-        definitions = [from_record(record) for record in replayer.counted_resources.values()]
+        definitions = [
+            definition_from_record(record) for record in replayer.counted_resources.values()
+        ]
         if definitions:
             log.info("counting %d resources as the log has them", len(definitions))
     if rules.off:
--- a/appleshift/protocol/counted_resources.py
+++ b/appleshift/protocol/counted_resources.py
@@ -18,7 +18,7 @@
 """Most resources that may be defined."""
 MAX_COUNT = 1_000_000
 """Largest total of a resource."""
-MAX_ASKED = 16
+MAX_RESOURCES_PER_SUBMISSION = 16
 """Most resources that one submission may name."""
 _RECORD_OVERHEAD_BYTES = 400
 """Left free in the stored value that holds a definition, for the record around it."""
@@ -115,13 +115,13 @@
     return None
 
 
-def to_record(definition: CountedResourceDefinition) -> dict[str, Any]:
+def definition_to_record(definition: CountedResourceDefinition) -> dict[str, Any]:
     """Convert a definition for the log."""
     record: dict[str, Any] = msgspec.to_builtins(definition)
     return record
 
 
-def from_record(record: Any) -> CountedResourceDefinition:
+def definition_from_record(record: Any) -> CountedResourceDefinition:
     """Convert a definition from the log; msgspec.ValidationError if it is none."""
     return msgspec.convert(record, CountedResourceDefinition)
 
@@ -132,11 +132,11 @@
             Annotated[str, msgspec.Meta(max_length=40)],
             Annotated[int, msgspec.Meta(ge=1, le=MAX_COUNT)],
         ],
-        msgspec.Meta(max_length=MAX_ASKED),
+        msgspec.Meta(max_length=MAX_RESOURCES_PER_SUBMISSION),
     ]
 
 
-def requested_counts(field: Any) -> dict[str, int]:
+def parse_requested_counts(field: Any) -> dict[str, int]:
     """Check the ``seats`` field of a submission: name -> count; ProtocolError 400 if malformed."""
     if field is None:
         return {}
--- a/appleshift/protocol/license_server.py
+++ b/appleshift/protocol/license_server.py
@@ -11,7 +11,7 @@
 
 ACCOUNT = "appleshift"
 """Name under which the cluster reserves licences."""
-MAX_RETURNS = 400
+MAX_RETURNED_HOLDERS = 400
 """Most holders that one heartbeat returns licences of; the rest follow with the next one."""
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]
