--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -189,4 +189,4 @@
     """A peer's connectivity, received now, as a report."""
     age_s = connectivity.worker_contact_age_s
     contacts = ContactSummary(None if age_s < 0.0 else age_s, connectivity.uninterrupted_s)
-    return PeerReport(now, contacts, connectivity.store_answers)
+    return PeerReport(now, contacts, connectivity.store_reachable)
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -64,7 +64,7 @@
     rename={
         "worker_contact_age_s": "workers_s",
         "uninterrupted_s": "steady_s",
-        "store_answers": "state",
+        "store_reachable": "state",
     },
 ):
     """What a node can connect to, as it measures itself."""
@@ -73,7 +73,7 @@
     """Seconds since a worker last sent or answered anything; negative: none has yet."""
     uninterrupted_s: float
     """Seconds for which workers have been in contact without a break."""
-    store_answers: bool
+    store_reachable: bool
     """The key-value store answered the last request."""
 
 
@@ -85,7 +85,7 @@
         "relayed_fraction": "share",
         "is_relay": "relays",
         "held_shards": "shares",
-        "preferred_holders": "wanted",
+        "preferred_leaders": "wanted",
         "process_id": "process",
         "connectivity": "sees",
         "worker_sample": "sample",
@@ -107,7 +107,7 @@
     """Shards that it holds beyond the first one, which the fields above describe."""
     shard_map_version: int = 0
     """Version of the shard map that it follows; 0: it has none."""
-    preferred_holders: list[str] = []
+    preferred_leaders: list[str] = []
     """Of a leader: the node that is to hold each shard; "" for any."""
     process_id: str = ""
     """Identifies the process that sends it; another one after each start."""
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -249,7 +249,7 @@
         if best is None:
             return None
         return next(
-            ((shard, name) for shard, name in enumerate(best[1].preferred_holders) if name), None
+            ((shard, name) for shard, name in enumerate(best[1].preferred_leaders) if name), None
         )
 
     def _candidacy_delay_s(self, shard: int) -> float:
@@ -323,7 +323,7 @@
         if move is not None and status.entitled:
             wanted = [""] * move[0] + [move[1]]
         return msgspec.structs.replace(
-            status, held_shards=shares, shard_map_version=self.version, preferred_holders=wanted
+            status, held_shards=shares, shard_map_version=self.version, preferred_leaders=wanted
         )
 
     # -- calls between holders ---------------------------------------------------------------
