--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -132,7 +132,7 @@
 
     def _ask_about_job(self, call: JobCall, job_id: str, forwarded: bool) -> Response:
         """The response of the first of the job's home shards that knows it."""
-        if not users.valid_id(job_id):
+        if not users.is_valid_job_id(job_id):
             # Users also ask about jobs that nobody can have submitted.
             return respond(404, users.error_body("no such job"))
         shard_map = self._context.shard_map()
--- a/appleshift/protocol/users.py
+++ b/appleshift/protocol/users.py
@@ -17,7 +17,7 @@
 GANG: Shape = "ensemble"
 SERVICE: Shape = "daemon"
 
-RANKS: dict[str, int] = {"critical": 0, "high": 1, "standard": 2, "low": 3}
+PRIORITY_RANKS: dict[str, int] = {"critical": 0, "high": 1, "standard": 2, "low": 3}
 """Priorities as ranks; a smaller rank is placed first."""
 
 PENDING = "pending"
@@ -93,7 +93,7 @@
 _submission = msgspec.msgpack.Decoder(Submission)
 
 
-def valid_id(job_id: str) -> bool:
+def is_valid_job_id(job_id: str) -> bool:
     """Whether a job's id has the form that is accepted."""
     return _ID_FORM.fullmatch(job_id) is not None
 
@@ -101,7 +101,7 @@
 def decode_submission(body: bytes) -> Submission:
     """Decode a submission; ProtocolError 400 if it is malformed."""
     job = decode_as(_submission, body)
-    if not valid_id(job.id):
+    if not is_valid_job_id(job.id):
         raise ProtocolError(400, "not a job id")
     amounts = (job.cpus, job.gpus, job.memory_gb, job.image_gb, job.estimate_s)
     times = (job.checkpoint_s, job.save_s, job.deadline_s or 0.0)
@@ -116,7 +116,7 @@
     return {"name_id": job_id, "status": status, "done": done, "running": running}
 
 
-def state_body(job_id: str, status: str) -> dict[str, Any]:
+def acknowledgement_body(job_id: str, status: str) -> dict[str, Any]:
     """Body that confirms a submission or cancellation."""
     return {"name_id": job_id, "status": status}
 
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -58,7 +58,7 @@
         decides about the job.
         """
         scheduler = self._scheduler
-        if self._reply_if_final(spec.id, reply_to, users.state_body):
+        if self._reply_if_final(spec.id, reply_to, users.acknowledgement_body):
             return
         if not scheduler.lease.may_answer(scheduler.now):
             scheduler.reply_unavailable(reply_to)
@@ -84,11 +84,13 @@
     def _reply_to_repeated_submission(self, job: Job, reply_to: Any) -> None:
         scheduler, job_id = self._scheduler, job.spec.id
         if job.accepted:
-            scheduler.reply(reply_to, 200, users.state_body(job_id, self.state(job)))
+            scheduler.reply(reply_to, 200, users.acknowledgement_body(job_id, self.state(job)))
         elif scheduler.writes_stalled:
             scheduler.reply_unavailable(reply_to)
         else:
-            scheduler.reply_when_durable(reply_to, 200, users.state_body(job_id, users.PENDING))
+            scheduler.reply_when_durable(
+                reply_to, 200, users.acknowledgement_body(job_id, users.PENDING)
+            )
 
     def _reply_if_rejected(self, spec: Submission, reply_to: Any) -> bool:
         """Answer a submission that cannot be accepted; return whether it was answered.
@@ -149,7 +151,9 @@
         if scheduler.sharding is not None:
             new_records += scheduler.sharding.partition_array(job)
         scheduler.append_records(new_records, partial(self._submission_durable, job))
-        scheduler.reply_when_durable(reply_to, 201, users.state_body(spec.id, users.PENDING))
+        scheduler.reply_when_durable(
+            reply_to, 201, users.acknowledgement_body(spec.id, users.PENDING)
+        )
         scheduler.job_arrived(spec)
 
     def _submission_durable(self, job: Job) -> None:
@@ -234,7 +238,7 @@
         The other parameters are those of ``status``.
         """
         scheduler = self._scheduler
-        if self._reply_if_final(job_id, reply_to, users.state_body):
+        if self._reply_if_final(job_id, reply_to, users.acknowledgement_body):
             return
         if not scheduler.lease.may_answer(scheduler.now):
             scheduler.reply_unavailable(reply_to)
@@ -257,7 +261,7 @@
                 records.cancel_record(job), lambda: scheduler.job_cancelled(job)
             )
         scheduler.reply_when_durable(
-            reply_to, 200, users.state_body(job_id, FINAL_STATE_NAMES[job.status])
+            reply_to, 200, users.acknowledgement_body(job_id, FINAL_STATE_NAMES[job.status])
         )
 
     # -- common -------------------------------------------------------------------------
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -116,7 +116,9 @@
             job.cancel_durable = True
             self._forget(job)
             for reply_to in self._waiting.pop(job_id, ()):
-                scheduler.reply_if_pending(reply_to, 200, users.state_body(job_id, users.CANCELLED))
+                scheduler.reply_if_pending(
+                    reply_to, 200, users.acknowledgement_body(job_id, users.CANCELLED)
+                )
             scheduler.job_cancelled(job)
 
         scheduler.append_records([records.cancel_record(job)], durable)
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -10,7 +10,7 @@
 
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.users import RANKS, Submission
+from appleshift.protocol.users import PRIORITY_RANKS, Submission
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.state.name_index import NameIndex
@@ -71,7 +71,7 @@
         # handed back.
         self.handed_off: dict[str, HandedOffMachine] = {}
         # How many tasks of each rank may be on machines.
-        self._runs_by_rank = [0] * len(RANKS)
+        self._runs_by_rank = [0] * len(PRIORITY_RANKS)
         # By job class: the ratio of tasks' run time to their estimate, a moving average.
         self.run_time_ratios: dict[str, float] = {}
         # The most CPUs and memory (GB) that a job with GPUs needed for one GPU.
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from appleshift.protocol.cloud import MachineType
-from appleshift.protocol.users import GANG, RANKS, SERVICE, Submission
+from appleshift.protocol.users import GANG, PRIORITY_RANKS, SERVICE, Submission
 from appleshift.state.states import (
     ASSIGNED,
     BOOTING,
@@ -137,7 +137,7 @@
         # once reported as the whole job.
         self.key = partition_key(spec.id) if partition else spec.id
         self.submitted = submitted
-        self.rank = RANKS[spec.priority]
+        self.rank = PRIORITY_RANKS[spec.priority]
         self.done = bytearray(spec.tasks)
         self.done_count = 0
         self.runs: dict[int, TaskRun] = {}
