--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -57,14 +57,14 @@
 def stop_grace_s(run: TaskRun) -> float:
     """Time in seconds that a task needs to save a checkpoint when it is stopped."""
     spec = run.job.spec
-    return spec.save_s if spec.checkpoint_s > 0 else 0.0
+    return spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else 0.0
 
 
 def lost_work_s(run: TaskRun, now: float) -> float:
     """Run time in seconds that a stop wastes: work that cannot be saved, and the saving."""
     spec = run.job.spec
-    if spec.checkpoint_s > 0:
-        return spec.save_s
+    if spec.checkpoint_interval_s > 0:
+        return spec.checkpoint_duration_s
     return max(0.0, now - run.running_since) if run.running_since else 0.0
 
 
--- a/appleshift/protocol/users.py
+++ b/appleshift/protocol/users.py
@@ -50,8 +50,8 @@
         "zone": "yard",
         "spot": "loaners",
         "estimate_s": "expected_s",
-        "checkpoint_s": "snapshot_every_s",
-        "save_s": "snapshot_cost_s",
+        "checkpoint_interval_s": "snapshot_every_s",
+        "checkpoint_duration_s": "snapshot_cost_s",
         "deadline_s": "due_s",
         "counted_resources": "seats",
     },
@@ -77,9 +77,9 @@
     spread: bool
     spot: bool
     estimate_s: Amount
-    checkpoint_s: Amount
+    checkpoint_interval_s: Amount
     """Seconds between two checkpoints."""
-    save_s: Amount
+    checkpoint_duration_s: Amount
     """Seconds that writing a checkpoint takes."""
     types: Annotated[list[Name], msgspec.Meta(max_length=1000)] | None = None
     zone: Name | None = None
@@ -104,7 +104,7 @@
     if not is_valid_job_id(job.id):
         raise ProtocolError(400, "not a job id")
     amounts = (job.cpus, job.gpus, job.memory_gb, job.image_gb, job.estimate_s)
-    times = (job.checkpoint_s, job.save_s, job.deadline_s or 0.0)
+    times = (job.checkpoint_interval_s, job.checkpoint_duration_s, job.deadline_s or 0.0)
     # NaN passes every comparison, so that a range check alone lets it through.
     if not all(math.isfinite(value) for value in amounts + times):
         raise ProtocolError(400, "an amount is not a finite number")
