--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/scheduler_part.py
@@ -25,7 +25,7 @@
 )
 from appleshift.protocol.license_server import ReservationReply
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.wire import MAX_BODY, json_size
+from appleshift.protocol.wire import MAX_BODY_BYTES, json_size
 from appleshift.state.entities import Job
 from appleshift.state.states import OPEN
 from appleshift.storage import records
@@ -187,7 +187,7 @@
             if entry[0] <= after:
                 continue
             size += json_size(entry)
-            if size > MAX_BODY // 2 and entries:
+            if size > MAX_BODY_BYTES // 2 and entries:
                 break
             entries.append(entry)
         more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next
--- a/appleshift/protocol/wire.py
+++ b/appleshift/protocol/wire.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 """Largest request body, and largest answer to a worker or user, in bytes."""
 
 T = TypeVar("T")
