--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -18,7 +18,7 @@
 MAX_SHARDS = 64
 """Most shards that a map may have."""
 
-GONE, UP, LEAVING, MOVED = range(4)
+REPORTED_GONE, REPORTED_UP, REPORTED_DRAINING, REPORTED_MOVED = range(4)
 """State of a machine at its shard's holder: it no longer exists, it works, it takes no new
 work, it was transferred to another shard."""
 
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -9,9 +9,9 @@
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import (
-    GONE,
-    LEAVING,
-    MOVED,
+    REPORTED_DRAINING,
+    REPORTED_GONE,
+    REPORTED_MOVED,
     FleetPlan,
     MachineSummary,
     ShardSummary,
@@ -92,7 +92,7 @@
     def _machine(self, shard: int, reported: MachineSummary) -> None:
         cluster, leaving = self._scheduler.cluster, self._leaving[shard]
         machine = cluster.machine(reported.name)
-        if reported.state == MOVED:
+        if reported.state == REPORTED_MOVED:
             # The shard that accepted it reports it.
             leaving.discard(reported.name)
             if machine is not None and machine.in_other_shard:
@@ -103,7 +103,7 @@
         if machine is not None and not machine.in_other_shard:
             # It came back to this shard meanwhile.
             return
-        if reported.state == GONE:
+        if reported.state == REPORTED_GONE:
             leaving.discard(reported.name)
             self._shard_of.pop(reported.name, None)
             self._moving[shard].pop(reported.name, None)
@@ -115,7 +115,7 @@
         )
         if machine is None:
             return
-        machine.cordoned = reported.state == LEAVING
+        machine.cordoned = reported.state == REPORTED_DRAINING
         if not reported.idle or machine.cordoned:
             leaving.discard(reported.name)
             machine.idle_since = 0.0
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -12,10 +12,10 @@
 
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.sharding import (
-    GONE,
-    LEAVING,
-    MOVED,
-    UP,
+    REPORTED_DRAINING,
+    REPORTED_GONE,
+    REPORTED_MOVED,
+    REPORTED_UP,
     FleetPlan,
     MachineSummary,
     ShardSummary,
@@ -76,7 +76,7 @@
         for machine in cluster.machines.values():
             if machine.status != MACHINE_UP:
                 continue
-            state = UP if machine.schedulable() else LEAVING
+            state = REPORTED_UP if machine.schedulable() else REPORTED_DRAINING
             idle = not machine.runs and not machine.unknown_runs
             if self._acknowledged.get(machine.name) != (state, idle):
                 kind, zone = (
@@ -88,7 +88,7 @@
                 break
         gone = [name for name in self._acknowledged if cluster.machine(name) is None]
         for name in gone[:MAX_MACHINES_PER_CALL]:
-            state = MOVED if name in cluster.handed_off else GONE
+            state = REPORTED_MOVED if name in cluster.handed_off else REPORTED_GONE
             changed.append(MachineSummary(name, "", "", False, state, False))
         self._in_flight = {each.name: (each.state, each.idle) for each in changed}
         self._evicted_in_flight = set(self._evicted)
@@ -114,7 +114,7 @@
         """Apply the leader's answer: machine types, hand-offs, machines to return."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         for name, said in self._in_flight.items():
-            if said[0] in (GONE, MOVED):
+            if said[0] in (REPORTED_GONE, REPORTED_MOVED):
                 self._acknowledged.pop(name, None)
             else:
                 self._acknowledged[name] = said
