--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -65,9 +65,9 @@
     kind: str
     zone: str
     spot: bool
-    moves: int
+    transfer_count: int
     """Counts its transfers: an earlier one that arrives late must not change anything."""
-    token: int
+    fencing_token: int
     """The highest fencing token that its worker may have received."""
 
 
@@ -102,7 +102,7 @@
     state: int
     """``OPEN``, ``FINISHED`` or ``CANCELLED`` as in the cluster state; unless it is open,
     none of its tasks will ever start there again."""
-    done: list[int]
+    done_ranges: list[int]
     """If it is open: numbers of the tasks that are done, as ranges."""
     running: int = 0
 
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -168,7 +168,9 @@
             self._ended.add(key)
         elif job.status == OPEN:
             told = (
-                mine if partition_status.state == FINISHED else from_ranges(partition_status.done)
+                mine
+                if partition_status.state == FINISHED
+                else from_ranges(partition_status.done_ranges)
             )
             done = [task for task in told if task in mine and not job.done[task]]
             self._running[key] = partition_status.running
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -83,7 +83,7 @@
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         known, handed_off = cluster.machine(offer.name), cluster.handed_off.get(offer.name)
         if offer.name in cluster.deleted_machines or (
-            handed_off is not None and handed_off.transfer_count >= offer.moves
+            handed_off is not None and handed_off.transfer_count >= offer.transfer_count
         ):
             return True
         if known is not None and not known.in_other_shard:
@@ -98,8 +98,8 @@
         self._unconfirmed.pop(offer.name, None)
         machine.addr, machine.transfer_count, machine.min_fencing_token = (
             offer.addr,
-            offer.moves,
-            offer.token,
+            offer.transfer_count,
+            offer.fencing_token,
         )
         machine.rented_at = machine.idle_since = scheduler.now
         scheduler.append_records([records.machine_record(cluster, machine)])
