--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -225,11 +225,11 @@
 
 
 def load_operator_settings(
-    paths: Path | Sequence[Path] | None, platform: Settings | None = None
+    paths: Path | Sequence[Path] | None, node_settings: Settings | None = None
 ) -> OperatorSettings:
     """Read the operators' files, one after the other; without one, the defaults hold.
 
-    With the platform's settings, what refers to them is checked, too. Raises
+    With the node's settings, what refers to them is checked, too. Raises
     SettingsError with file, line and reason.
     """
     files = [paths] if isinstance(paths, Path) else list(paths or ())
@@ -245,7 +245,7 @@
     except _FieldError as error:
         raise locations.error(error.field, error.reason) from error
     if definitions or rules is not None:
-        settings = _with_counted_resources(settings, definitions, rules, locations, platform)
+        settings = _with_counted_resources(settings, definitions, rules, locations, node_settings)
     return settings
 
 
@@ -276,7 +276,7 @@
     definition_messages: Any,
     rules_message: Any,
     locations: _Locations,
-    platform: Settings | None,
+    node_settings: Settings | None,
 ) -> OperatorSettings:
     """Add counted resources and their rules, converted to structs and checked."""
     import msgspec
@@ -298,8 +298,8 @@
         )
     except ValueError as error:
         raise locations.error_at_text("seat_rules", str(error)) from error
-    if platform is not None:
-        deployment = platform.deployment
+    if node_settings is not None:
+        deployment = node_settings.deployment
         refusal = protocol.check_definitions(
             tuple(definitions), deployment.teams, int(deployment.state.value_kb * 1024)
         )
--- a/appleshift/protocol/settings.py
+++ b/appleshift/protocol/settings.py
@@ -32,7 +32,7 @@
         self.field = field
 
 
-class Sibling(msgspec.Struct, frozen=True, rename={"name": "host_name", "zone": "site"}):
+class PeerSettings(msgspec.Struct, frozen=True, rename={"name": "host_name", "zone": "site"}):
     """A peer: another controller node."""
 
     name: str
@@ -41,7 +41,7 @@
     """``host:port`` on which it listens for its peers."""
 
 
-class External(msgspec.Struct, frozen=True):
+class ExternalServices(msgspec.Struct, frozen=True):
     """``host:port`` of the cloud's API and of the key-value store."""
 
     cloud: str
@@ -144,9 +144,9 @@
     """``host:port`` for users, workers and operators."""
     cluster_listen: str
     """``host:port`` for peers."""
-    external: External
+    external: ExternalServices
     deployment: Deployment
-    siblings: list[Sibling] = []
+    siblings: list[PeerSettings] = []
 
 
 def split_address(address: str) -> tuple[str, int]:
