--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -25,7 +25,7 @@
 from appleshift.storage.write_ahead_log import WriteAheadLog
 
 
-class LeaseHolder(Protocol):
+class LeaderLeaseView(Protocol):
     """What this node may do as a leader right now, by its own clock."""
 
     def may_write(self, now: float) -> bool:
@@ -40,7 +40,7 @@
 class CommandResultListener(Protocol):
     """What is known of which machines can be reached; see ``machines/liveness.py``."""
 
-    def command_result(self, machine: Machine, reached: bool) -> None:
+    def record_command_result(self, machine: Machine, reached: bool) -> None:
         """Note whether a worker answered a direct command or a probe."""
         ...
 
@@ -50,7 +50,7 @@
 
     settings: Settings
     operator: OperatorSettings
-    lease: LeaseHolder
+    lease: LeaderLeaseView
     cluster: ClusterState
     write_ahead_log: WriteAheadLog
     actions: deque[Action]
--- a/appleshift/dispatch/worker_commands.py
+++ b/appleshift/dispatch/worker_commands.py
@@ -159,7 +159,7 @@
         ):
             self._scheduler.reconcile(machine, heartbeat)
         # A response counts like one to a probe, and its absence like an unanswered probe.
-        self._scheduler.liveness.command_result(machine, outcome != "unknown")
+        self._scheduler.liveness.record_command_result(machine, outcome != "unknown")
         if outcome != "done":
             machine.avoid_until = max(machine.avoid_until, self._scheduler.now + RESEND_INTERVAL_S)
 
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -221,7 +221,7 @@
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
-            self._scheduler.liveness.command_result(machine, answered)
+            self._scheduler.liveness.record_command_result(machine, answered)
 
     # -- zones --------------------------------------------------------------------------
 
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -106,7 +106,7 @@
             > self._heartbeats_lost_after_s
         )
 
-    def command_result(self, machine: Machine, reached: bool) -> None:
+    def record_command_result(self, machine: Machine, reached: bool) -> None:
         """Record whether a machine answered a direct command or a probe."""
         if reached:
             machine.commands_unconfirmed_since = machine.heartbeats_while_unconfirmed = (
--- a/appleshift/scheduler/dependencies.py
+++ b/appleshift/scheduler/dependencies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.contracts.interfaces import LeaderLeaseView, ShardingView
 from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.operator import OperatorSettings
 from appleshift.protocol.settings import Settings
@@ -19,7 +19,7 @@
 
     settings: Settings
     operator: OperatorSettings
-    lease: LeaseHolder
+    lease: LeaderLeaseView
     """The leader lease: whether this node may write and answer at a given time."""
     fencing_token: int
     """Increases with every term; workers refuse commands with a lower token."""
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.contracts.interfaces import LeaderLeaseView, ShardingView
 from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resource_interfaces import CountedResources
@@ -63,7 +63,7 @@
 
 def create_scheduler(
     context: NodeContext,
-    lease: LeaseHolder,
+    lease: LeaderLeaseView,
     term: LeaderTerm,
     recovered: RecoveredTerm,
     now: float,
