--- a/appleshift/contracts/actions.py
+++ b/appleshift/contracts/actions.py
@@ -28,7 +28,7 @@
     """An HTTP status."""
     body: Any
     """A dict, or a message of ``protocol.sharding`` for the leader of another shard."""
-    retry_after: int = 0
+    retry_after_s: int = 0
     """Seconds after which the request may be repeated; 0: not said."""
 
 
--- a/appleshift/contracts/events.py
+++ b/appleshift/contracts/events.py
@@ -92,14 +92,14 @@
     """A worker reports its tasks and waits for commands."""
 
     heartbeat: Heartbeat
-    tasks: bytes | None = None
+    encoded_tasks: bytes | None = None
     """The heartbeat's task list as it was sent."""
 
 
 class GetCountedResources(ApiRequest, frozen=True):
     """An operator asks for counted resources."""
 
-    after: int | None
+    after_audit_entry: int | None
     """Number of the audit entry after which the audit is wanted; None: current counts."""
 
 
@@ -186,7 +186,7 @@
     """What became of ``DeleteMachines``."""
 
     machines: tuple[str, ...]
-    ok: bool
+    confirmed: bool
     """The cloud confirmed it: machines and tasks are gone."""
 
 
--- a/appleshift/shard_event_handlers.py
+++ b/appleshift/shard_event_handlers.py
@@ -17,7 +17,7 @@
     """Answer a request, at once or after its changes are durable."""
     match request:
         case events.HeartbeatReceived():
-            scheduler.heartbeat_received(request.heartbeat, request.reply_to, request.tasks)
+            scheduler.heartbeat_received(request.heartbeat, request.reply_to, request.encoded_tasks)
         case events.SubmitJob():
             scheduler.job_requests.submit(
                 request.spec, request.reply_to, wall_time(), request.forwarded_by_home
@@ -38,7 +38,7 @@
             )
         case events.GetCountedResources():
             status, body = _counted_resources_reply(
-                scheduler.counted_resources, request.after, scheduler.now
+                scheduler.counted_resources, request.after_audit_entry, scheduler.now
             )
             scheduler.reply(request.reply_to, status, body)
         case events.ShardRequestReceived() if scheduler.sharding is not None:
@@ -85,7 +85,7 @@
 
 
 def _deletion_answered(scheduler: Scheduler, event: events.DeletionAnswered) -> None:
-    scheduler.deletion_answered(event.machines, event.ok)
+    scheduler.deletion_answered(event.machines, event.confirmed)
 
 
 def _shard_reply_received(scheduler: Scheduler, event: events.ShardReplyReceived) -> None:
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -195,7 +195,7 @@
         context, term = self.context, self.term
         match action:
             case Reply():
-                action.reply_to.put((action.status, action.body, action.retry_after))
+                action.reply_to.put((action.status, action.body, action.retry_after_s))
             case SendCommands():
                 context.worker_calls.send_commands(action, term)
             case ProbeMachine():
