--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -118,11 +118,11 @@
         """Tell whether a machine of that name and type belongs to this shard."""
         ...
 
-    def is_home(self, job_id: str) -> bool:
+    def is_home_shard(self, job_id: str) -> bool:
         """Tell whether a new job of that id belongs here."""
         ...
 
-    def is_current_map(self, job_id: str, map_version: int) -> bool:
+    def is_routing_current(self, job_id: str, map_version: int) -> bool:
         """Tell whether that version of the shard map routes the job's requests rightly."""
         ...
 
@@ -186,7 +186,7 @@
     eligible_types: list[bool]
     """By machine type: whether the work may run there."""
     zones: list[int]
-    spread_by: int = 1
+    rentals_per_machine: int = 1
     """How many machines must be rented for one of them to reach the shard that needs it."""
 
 
--- a/appleshift/provisioning/shortages.py
+++ b/appleshift/provisioning/shortages.py
@@ -88,9 +88,9 @@
             break
         if count and _may_use(need, *market):
             fit = _tasks_per_machine(pool, market[0], need)
-            used = min(count, -(-missing // max(1, fit)) * need.spread_by)
+            used = min(count, -(-missing // max(1, fit)) * need.rentals_per_machine)
             incoming[market] -= used
-            missing -= used * fit // need.spread_by
+            missing -= used * fit // need.rentals_per_machine
     return missing
 
 
@@ -128,4 +128,4 @@
     )
     if offers:
         _, type_index, zone, spot = offers[0]
-        fleet.rent(type_index, zone, spot, machines(type_index) * need.spread_by)
+        fleet.rent(type_index, zone, spot, machines(type_index) * need.rentals_per_machine)
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -110,7 +110,7 @@
         self, sharding: ShardingView, spec: Submission, reply_to: Any
     ) -> bool:
         """Answer a submission that another shard decides about; return whether it was answered."""
-        if not sharding.is_home(spec.id):
+        if not sharding.is_home_shard(spec.id):
             # The node that routed the request uses an older shard map.
             self._scheduler.reply_unavailable(reply_to)
             return True
@@ -292,7 +292,7 @@
         if (
             sharding is None
             or forwarded_by_home
-            or sharding.is_current_map(job_id, shard_map_version)
+            or sharding.is_routing_current(job_id, shard_map_version)
         ):
             self._scheduler.reply(reply_to, 404, users.error_body("no such job"))
         else:
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -266,7 +266,7 @@
         cluster = self._scheduler.cluster
         found = []
         for summary in self._fresh():
-            spread_by = len(self._map.plain) if summary.shard in self._map.plain else 1
+            rentals_per_machine = len(self._map.plain) if summary.shard in self._map.plain else 1
             for need in summary.unplaceable:
                 if (need.gpus > 0) != gpus:
                     continue
@@ -279,7 +279,7 @@
                         need.spot,
                         [kind.name in need.kinds for kind in cluster.types],
                         [zone for name in need.zones if (zone := cluster.zones.get(name)) >= 0],
-                        spread_by,
+                        rentals_per_machine,
                     )
                 )
         return found
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -70,11 +70,11 @@
         """Whether a machine of that name and type belongs to this shard."""
         return self._map.shard_of_machine(machine, kind) == self.shard
 
-    def is_home(self, job_id: str) -> bool:
+    def is_home_shard(self, job_id: str) -> bool:
         """Whether a new job of that id is accepted by this shard."""
         return self._map.home_shards(job_id)[0] == self.shard
 
-    def is_current_map(self, job_id: str, map_version: int) -> bool:
+    def is_routing_current(self, job_id: str, map_version: int) -> bool:
         """Whether whoever asks by that map version asks a shard that would know the job."""
         return map_version == self._map.version and self.shard in self._map.home_shards(job_id)
 
