--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -212,17 +212,17 @@
     """Work that found no room in the last placement pass."""
     pending_rentals: dict[str, tuple[int, int, bool, int]]
     """By request: kind, zone, spot and count of what the cloud has not answered yet."""
-    arrivals: deque[tuple[float, float, float, bool, float]]
+    recent_submissions: deque[tuple[float, float, float, bool, float]]
     """Recent submissions: time, CPUs, GPUs, spot, and the seconds they may wait."""
     spot_groups: set[tuple[int, int]]
     """Spot markets in use, by kind and zone."""
     evicted_markets: dict[tuple[int, int], float]
     """Until when nothing is rented in a market that lost machines, monotonic seconds."""
-    recent_required: dict[bool, deque[tuple[float, float]]]
+    recent_required_capacity: dict[bool, deque[tuple[float, float]]]
     """By pool: time and required capacity, lately."""
     on_demand_spare: dict[bool, float]
     """By pool: on-demand capacity that is not needed."""
-    next_summary: float
+    next_summary_at: float
     """When the plan is summarized in the log next, in monotonic seconds."""
 
     @property
@@ -258,7 +258,7 @@
         """Delete a machine; ``reason`` goes into the log."""
         ...
 
-    def evict_group(self, machine: Machine) -> None:
+    def evict_spot_group(self, machine: Machine) -> None:
         """Give up the spot market of a machine that the cloud takes back, if it is spot."""
         ...
 
--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -78,7 +78,7 @@
             machine.rented_at = min(machine.rented_at, now - row.age_s)
         failed = row.state == cloud.FAILED and not machine.deletion_requested
         if failed and may_delete(machine):
-            self._fleet.evict_group(machine)
+            self._fleet.evict_spot_group(machine)
             self._fleet.delete(machine, "failed")
 
     def _delete_missing(self, listed_names: set[str]) -> None:
@@ -97,5 +97,5 @@
             # The cloud has reclaimed the machine, or it never existed. Deleting an unknown
             # name is harmless, and the response proves that the machine's tasks are gone.
             if machine.listed_at is None or now - machine.listed_at > MISSING_LAGS * lag_s:
-                self._fleet.evict_group(machine)
+                self._fleet.evict_spot_group(machine)
                 self._fleet.delete(machine, "no longer listed")
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -44,12 +44,12 @@
         self.shortages: list[Shortage] = []
         # Recent jobs of classes with a wait objective, as
         # (time, CPUs, GPUs, may use spot, accepted wait in seconds).
-        self.arrivals: deque[tuple[float, float, float, bool, float]] = deque()
-        self.next_summary = scheduler.now
+        self.recent_submissions: deque[tuple[float, float, float, bool, float]] = deque()
+        self.next_summary_at = scheduler.now
         # Pool (whether with GPUs) -> on-demand capacity that is not needed, in units.
         self.on_demand_spare: dict[bool, float] = {}
         # Pool (whether with GPUs) -> recently required capacity as (time, units).
-        self.recent_required: dict[bool, deque[tuple[float, float]]] = {
+        self.recent_required_capacity: dict[bool, deque[tuple[float, float]]] = {
             False: deque(),
             True: deque(),
         }
@@ -105,7 +105,7 @@
             counted = self.cluster.counted_resources
             tasks = spec.tasks if counted is None else counted.max_concurrent_tasks(spec)
             cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
-            self.arrivals.append((at, cpus, gpus, spec.spot, accepted_wait_s))
+            self.recent_submissions.append((at, cpus, gpus, spec.spot, accepted_wait_s))
 
     def capacity_units(self, machine: Machine) -> float:
         """Return a machine's capacity in on-demand machines of its pool.
@@ -165,7 +165,7 @@
                 reclaim_in_s,
             )
             machine.draining = True
-            self.evict_group(machine)
+            self.evict_spot_group(machine)
         machine.reclaim_at = self.scheduler.now + max(0.0, reclaim_in_s)
         checkpoint_before_reclaim(self.scheduler, machine)
 
@@ -175,7 +175,7 @@
         """Return the chosen spot groups as sorted ``type@zone`` names."""
         return self._spot_groups.names()
 
-    def evict_group(self, machine: Machine) -> None:
+    def evict_spot_group(self, machine: Machine) -> None:
         """Evict the spot group of a machine that was reclaimed or lost.
 
         The group's other machines are kept, but belong to no group. Does nothing for
@@ -205,7 +205,7 @@
     def machine_deleted(self, machine: Machine) -> None:
         """Evict the spot group of a machine that was deleted after a reclaim was announced."""
         if machine.spot and machine.reclaim_at is not None:
-            self.evict_group(machine)
+            self.evict_spot_group(machine)
 
     # -- responses of the cloud ---------------------------------------------------------
 
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -144,7 +144,7 @@
         for machine in machines:
             machine_silent_s = self._silent_for_s(machine, now)
             if may_be_lost and self._is_lost(machine, machine_silent_s, silent_s, now):
-                self._fleet.evict_group(machine)
+                self._fleet.evict_spot_group(machine)
                 self._fleet.delete(machine, f"silent for {machine_silent_s:.1f} s")
             elif (
                 machine.addr
--- a/appleshift/machines/plan_review.py
+++ b/appleshift/machines/plan_review.py
@@ -50,8 +50,11 @@
             # A new leader waits for a listing of the existing machines before it rents any.
             self.next_review = now + LISTING_RETRY_S
             return
-        while fleet.arrivals and fleet.arrivals[0][0] < now - operator.warm_window_s:
-            fleet.arrivals.popleft()
+        while (
+            fleet.recent_submissions
+            and fleet.recent_submissions[0][0] < now - operator.warm_window_s
+        ):
+            fleet.recent_submissions.popleft()
         if now >= self._next_regroup:
             self._next_regroup = now + operator.regroup_s
             # Plans keep the current groups; clearing them at long intervals lets the planner
@@ -59,5 +62,5 @@
             fleet.spot_groups.clear()
         for gpu_pool in (False, True):
             CapacityPool(fleet, gpu_pool).review(now)
-        if now >= fleet.next_summary:
-            fleet.next_summary = now + SUMMARY_INTERVAL_S
+        if now >= fleet.next_summary_at:
+            fleet.next_summary_at = now + SUMMARY_INTERVAL_S
--- a/appleshift/provisioning/demand.py
+++ b/appleshift/provisioning/demand.py
@@ -87,7 +87,7 @@
 
     The expected arrival rate is the average rate of the recent arrivals.
     """
-    operator, arrivals = pool.fleet.operator, pool.fleet.arrivals
+    operator, arrivals = pool.fleet.operator, pool.fleet.recent_submissions
     boot_s = pool.cluster.types[pool.on_demand_type].boot_s
     first_arrival = min((entry[0] for entry in arrivals), default=now)
     window_s = min(
--- a/appleshift/provisioning/pool.py
+++ b/appleshift/provisioning/pool.py
@@ -49,7 +49,7 @@
         self._record_required(required, now)
         plan = self._find_plan(required, on_demand_only, now)
         self._set_spot_groups(plan)
-        if now >= self._fleet.next_summary:
+        if now >= self._fleet.next_summary_at:
             self._log_summary(required, on_demand_only)
         log.debug(
             "capacity plan gpus=%s required=%.1f on_demand_only=%.1f plan=%s",
@@ -63,7 +63,7 @@
         scale_in(view, plan, required, on_demand_only, now)
 
     def _record_required(self, required: float, now: float) -> None:
-        recent = self._fleet.recent_required[self._has_gpus]
+        recent = self._fleet.recent_required_capacity[self._has_gpus]
         recent.append((now, required))
         while recent[0][0] < now - self._fleet.operator.peak_window_s:
             recent.popleft()
--- a/appleshift/provisioning/scale_in.py
+++ b/appleshift/provisioning/scale_in.py
@@ -99,7 +99,8 @@
     """Record the spare on-demand capacity that consolidation may empty."""
     # Bursts of demand recur, so capacity needed by a recent peak is not spare.
     peak = max(
-        (amount for _, amount in pool.fleet.recent_required[pool.has_gpus]), default=required
+        (amount for _, amount in pool.fleet.recent_required_capacity[pool.has_gpus]),
+        default=required,
     )
     needed = max(on_demand_only, peak - pool.capacity(True))
     pool.fleet.on_demand_spare[pool.has_gpus] = pool.capacity(False) - needed
