--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -230,7 +230,7 @@
         """Which zones can be trusted."""
         ...
 
-    def is_crowded(self) -> bool:
+    def is_near_machine_limit(self) -> bool:
         """Tell whether the number of machines counts for more than their price.
 
         That is so once the nodes have connections left for less than half of the
--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -230,9 +230,9 @@
         """Set the machine limit; see ``Rentals.set_max_machines``."""
         self._rentals.set_max_machines(machines)
 
-    def is_crowded(self) -> bool:
+    def is_near_machine_limit(self) -> bool:
         """Whether so many machines are rented that their number matters more than price."""
-        return self._rentals.is_crowded()
+        return self._rentals.is_near_machine_limit()
 
     def accepts_rentals(self, type_index: int, zone: int, spot: bool) -> bool:
         """Whether a market accepts rentals; see ``Rentals.accepts_rentals``."""
--- a/appleshift/machines/rentals.py
+++ b/appleshift/machines/rentals.py
@@ -65,7 +65,7 @@
         pending = sum(count for _, _, _, count in self.pending.values())
         return max(0, self.max_machines - len(self._cluster.machines) - pending)
 
-    def is_crowded(self) -> bool:
+    def is_near_machine_limit(self) -> bool:
         """Whether fewer than half of the machines that the nodes can serve may still be rented.
 
         The number of machines then matters more than their price.
--- a/appleshift/provisioning/scale_out.py
+++ b/appleshift/provisioning/scale_out.py
@@ -57,7 +57,7 @@
 
     If the number of machines is limited, the largest type is first.
     """
-    crowded = pool.fleet.is_crowded()
+    crowded = pool.fleet.is_near_machine_limit()
 
     def cost(type_index: int) -> float:
         machine_type = pool.cluster.types[type_index]
