--- a/appleshift/node_limits/node_limits.py
+++ b/appleshift/node_limits/node_limits.py
@@ -73,21 +73,21 @@
     """Seconds between rounds: what arrives meanwhile is handled in one round."""
 
     @classmethod
-    def from_machine_limits(cls, limits: MachineLimits, shared: bool = False) -> NodeLimits:
+    def from_machine_limits(cls, limits: MachineLimits, sharded: bool = False) -> NodeLimits:
         """Derive the bounds from a node's resources.
 
-        ``shared``: the machines are divided among the nodes, so that this one commands only
+        ``sharded``: the machines are divided among the nodes, so that this one commands only
         those that it serves and needs fewer connections of its own.
         """
         sockets = limits.max_sockets
-        connections = _max_connections(limits, shared)
+        connections = _max_connections(limits, sharded)
         threads = min(connections, MAX_THREADS)
         machines = max(4, int(connections * MACHINES_SHARE))
         direct_machines = max(4, int(threads * MACHINES_SHARE))
         # After a failover each machine's first heartbeat may come at once. Those of many
         # machines must not count as so much work that users are refused.
         max_queued = int(MAX_QUEUE_S * REQUESTS_PER_CORE_S * min(1.0, limits.core_share))
-        clients_share = SHARDED_CLIENTS_SOCKET_SHARE if shared else CLIENTS_SOCKET_SHARE
+        clients_share = SHARDED_CLIENTS_SOCKET_SHARE if sharded else CLIENTS_SOCKET_SHARE
         return cls(
             connections=connections,
             threads=threads,
@@ -101,10 +101,10 @@
         )
 
 
-def _max_connections(limits: MachineLimits, shared: bool) -> int:
+def _max_connections(limits: MachineLimits, sharded: bool) -> int:
     """The connections of workers and users that fit into the memory and sockets of a node."""
     by_memory = limits.memory_mb * CONNECTIONS_MEMORY_SHARE / CONNECTION_MB
     sockets = limits.max_sockets
-    share = SHARDED_CONNECTIONS_SOCKET_SHARE if shared else CONNECTIONS_SOCKET_SHARE
+    share = SHARDED_CONNECTIONS_SOCKET_SHARE if sharded else CONNECTIONS_SOCKET_SHARE
     by_sockets = max(sockets * share, sockets - OTHER_SOCKETS)
     return max(8, int(min(by_sockets, by_memory, MAX_CONNECTIONS)))
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -307,7 +307,7 @@
         scheduler = self._replicas[0].scheduler
         if scheduler is not None:
             limits = self.context.settings.deployment.machine_limits
-            places = NodeLimits.from_machine_limits(limits, shared=True).machines
+            places = NodeLimits.from_machine_limits(limits, sharded=True).machines
             nodes = min(len(self.context.peer_clients) + 1, shares)
             scheduler.fleet.set_max_machines(int(places * nodes * CLOSED))
 
