--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -110,7 +110,11 @@
             runtime,
         )
         self.workers = WorkerCalls(
-            self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
+            self._post,
+            connect,
+            runtime,
+            thread_count=capacity.worker_calls,
+            max_clients=capacity.worker_clients,
         )
         self.cloud = CloudCalls(
             self._post,
@@ -160,7 +164,7 @@
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
                 post=self._post,
-                load=lambda: self._events.qsize() / limits.max_queued,
+                load=lambda: self._events.qsize() / limits.max_queued_events,
                 is_worker_reachable=self.workers.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
--- a/appleshift/node_limits/load_monitor.py
+++ b/appleshift/node_limits/load_monitor.py
@@ -54,10 +54,10 @@
             connections,
             capacity.connections,
             self._max_handled,
-            capacity.max_queued,
+            capacity.max_queued_events,
             threading.active_count(),
         )
-        if busy > OVERLOAD_SHARE or self._max_handled > capacity.max_queued:
+        if busy > OVERLOAD_SHARE or self._max_handled > capacity.max_queued_events:
             log.warning(
                 "short of processor busy_percent=%.0f requests_at_once=%d",
                 busy * 100,
--- a/appleshift/node_limits/node_limits.py
+++ b/appleshift/node_limits/node_limits.py
@@ -63,11 +63,11 @@
     """Machines that a leader serves itself before it sends others to relays."""
     peers: int
     """Open connections of peers."""
-    calls: int
+    worker_calls: int
     """Direct commands and probes under way at once."""
-    clients: int
+    worker_clients: int
     """Workers to which connections are kept."""
-    max_queued: int
+    max_queued_events: int
     """Events that may wait for the scheduler before users are refused."""
     round_pause_s: float
     """Seconds between rounds: what arrives meanwhile is handled in one round."""
@@ -94,9 +94,9 @@
             machines=machines,
             direct_machines=direct_machines,
             peers=max(8, min(MAX_PEERS, int(sockets * PEERS_SOCKET_SHARE))),
-            calls=max(4, min(MAX_CALLS, connections // CONNECTIONS_PER_CALL)),
-            clients=max(8, min(MAX_CLIENTS, int(sockets * clients_share))),
-            max_queued=max(64, max_queued + machines - direct_machines),
+            worker_calls=max(4, min(MAX_CALLS, connections // CONNECTIONS_PER_CALL)),
+            worker_clients=max(8, min(MAX_CLIENTS, int(sockets * clients_share))),
+            max_queued_events=max(64, max_queued + machines - direct_machines),
             round_pause_s=min(MAX_ROUND_PAUSE_S, ROUND_PAUSE_S / limits.core_share),
         )
 
