--- a/appleshift/machines/plan_review.py
+++ b/appleshift/machines/plan_review.py
@@ -36,7 +36,7 @@
 
     def step(self, now: float) -> bool:
         """Review the plan if a review is due; return whether it was."""
-        if now < self.next_review or not self._budget.due():
+        if now < self.next_review or not self._budget.is_due():
             return False
         shortages = self._fleet.shortages
         self.next_review = now + (REVIEW_INTERVAL_S if shortages else self._operator.review_s)
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -337,7 +337,7 @@
             if scheduler.sharding is None:
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
-        self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
+        self._load_monitor.record_round(began, self.runtime.now(), handled, self._connections())
         if handled:
             # Events that come meanwhile are handled together in the next round: to wake up
             # for a single event costs more than handling it.
--- a/appleshift/node_limits/load_monitor.py
+++ b/appleshift/node_limits/load_monitor.py
@@ -24,15 +24,15 @@
     enforced from outside.)
     """
 
-    def __init__(self, limits: MachineLimits, capacity: NodeLimits, now: float) -> None:
-        """``limits`` are the node's resources, ``capacity`` the bounds that follow from them."""
+    def __init__(self, limits: MachineLimits, node_limits: NodeLimits, now: float) -> None:
+        """``limits`` are the node's resources, ``node_limits`` the bounds that follow from them."""
         self._limits = limits
-        self._capacity = capacity
+        self._node_limits = node_limits
         self._logged_at = now
         self._busy_s = 0.0
         self._max_handled = 0
 
-    def round_finished(self, began: float, now: float, handled: int, connections: int) -> None:
+    def record_round(self, began: float, now: float, handled: int, connections: int) -> None:
         """Count one round of the scheduler, which handled so many events."""
         self._busy_s += now - began
         self._max_handled = max(self._max_handled, handled)
@@ -44,7 +44,7 @@
 
     def log_load(self, busy: float, memory_mb: float, connections: int) -> None:
         """Log the load; ``busy`` is the share of the time between 0 and 1."""
-        limits, capacity = self._limits, self._capacity
+        limits, node_limits = self._limits, self._node_limits
         log.info(
             "node load busy_percent=%.0f memory_mb=%.0f memory_limit_mb=%.0f connections=%d"
             " max_connections=%d requests_at_once=%d max_requests_at_once=%d threads=%d",
@@ -52,12 +52,12 @@
             memory_mb,
             limits.memory_mb,
             connections,
-            capacity.connections,
+            node_limits.connections,
             self._max_handled,
-            capacity.max_queued_events,
+            node_limits.max_queued_events,
             threading.active_count(),
         )
-        if busy > OVERLOAD_SHARE or self._max_handled > capacity.max_queued_events:
+        if busy > OVERLOAD_SHARE or self._max_handled > node_limits.max_queued_events:
             log.warning(
                 "short of processor busy_percent=%.0f requests_at_once=%d",
                 busy * 100,
--- a/appleshift/node_limits/node_limits.py
+++ b/appleshift/node_limits/node_limits.py
@@ -10,10 +10,10 @@
 
 from appleshift.protocol.settings import MachineLimits
 
-REQUESTS_PER_CORE_S = 2000
+REQUESTS_PER_S_PER_CORE = 2000
 """Requests that a whole core answers in a second: 0.5 ms each, measured on
 loopback with workers' heartbeats."""
-MAX_QUEUE_S = 2.0
+MAX_QUEUE_DELAY_S = 2.0
 """Requests that would wait longer than this, in seconds, are refused: users wait 5 s for
 an answer and workers 4 s, and are better off with a prompt refusal."""
 ROUND_PAUSE_S = 0.004
@@ -28,7 +28,7 @@
 """Share of the sockets for connections; peers and calls to workers have the rest."""
 SHARDED_CONNECTIONS_SOCKET_SHARE = 0.7
 """The same if the machines are divided among the nodes."""
-OTHER_SOCKETS = 1000
+MAX_OTHER_SOCKETS = 1000
 """Peers, calls to workers, the key-value store and the cloud never need more sockets:
 beyond these, all sockets of a large node are for connections."""
 MAX_CONNECTIONS = 6000
@@ -86,7 +86,7 @@
         direct_machines = max(4, int(threads * MACHINES_SHARE))
         # After a failover each machine's first heartbeat may come at once. Those of many
         # machines must not count as so much work that users are refused.
-        max_queued = int(MAX_QUEUE_S * REQUESTS_PER_CORE_S * min(1.0, limits.core_share))
+        max_queued = int(MAX_QUEUE_DELAY_S * REQUESTS_PER_S_PER_CORE * min(1.0, limits.core_share))
         clients_share = SHARDED_CLIENTS_SOCKET_SHARE if sharded else CLIENTS_SOCKET_SHARE
         return cls(
             connections=connections,
@@ -106,5 +106,5 @@
     by_memory = limits.memory_mb * CONNECTIONS_MEMORY_SHARE / CONNECTION_MB
     sockets = limits.max_sockets
     share = SHARDED_CONNECTIONS_SOCKET_SHARE if sharded else CONNECTIONS_SOCKET_SHARE
-    by_sockets = max(sockets * share, sockets - OTHER_SOCKETS)
+    by_sockets = max(sockets * share, sockets - MAX_OTHER_SOCKETS)
     return max(8, int(min(by_sockets, by_memory, MAX_CONNECTIONS)))
--- a/appleshift/node_limits/time_budget.py
+++ b/appleshift/node_limits/time_budget.py
@@ -19,7 +19,7 @@
         self._next_run = 0.0
         self._started = 0.0
 
-    def due(self) -> bool:
+    def is_due(self) -> bool:
         """Whether the pause after the last run is over."""
         return self._clock() >= self._next_run
 
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -297,7 +297,7 @@
     def step(self, now: float, wall_time: float) -> None:
         """Run periodic checks and a placement pass if due, and send due commands."""
         self.now, self.wall_time = now, wall_time
-        if now >= self.next_tick_at and self._tick_budget.due():
+        if now >= self.next_tick_at and self._tick_budget.is_due():
             self.next_tick_at = now + TICK_INTERVAL_S
             with self._tick_budget:
                 self._tick()
@@ -317,7 +317,7 @@
         return (
             self.placement_needed
             and self.now - self.last_placement_at >= interval_s
-            and self._placement_budget.due()
+            and self._placement_budget.is_due()
         )
 
     def _tick(self) -> None:
