--- a/appleshift/dispatch/cloud_calls.py
+++ b/appleshift/dispatch/cloud_calls.py
@@ -220,8 +220,8 @@
                 return pages
             page = cloud.decode_machine_list(body)
             rows += page.machines
-            complete = complete and page.is_complete
-            if not page.has_more:
+            complete = complete and page.whole
+            if not page.more:
                 break
             if not page.machines:
                 # An empty page has no last name from which to request the next page.
--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -88,13 +88,13 @@
     """A page of the list. ``more``: others follow; ``whole``: every row could be decoded."""
 
     machines: list[ListedMachine]
-    has_more: bool
-    is_complete: bool
+    more: bool
+    whole: bool
 
 
-class _RawList(msgspec.Struct, frozen=True, rename={"rows": "rigs", "has_more": "truncated"}):
+class _RawList(msgspec.Struct, frozen=True, rename={"rows": "rigs", "more": "truncated"}):
     rows: list[msgspec.Raw]
-    has_more: bool = False
+    more: bool = False
 
 
 class RentalResponse(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
@@ -126,7 +126,7 @@
             machines.append(decode_as(_row, bytes(row)))
         except ProtocolError:
             continue
-    return MachineList(machines, page.has_more, len(machines) == len(page.rows))
+    return MachineList(machines, page.more, len(machines) == len(page.rows))
 
 
 def decode_rented_machines(body: bytes) -> list[str]:
