--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -25,7 +25,7 @@
 from appleshift.storage.write_ahead_log import WriteAheadLog
 
 
-class LeaseHolder(Protocol):
+class LeaderLeaseView(Protocol):
     """What this node may do as a leader right now, by its own clock."""
 
     def may_write(self, now: float) -> bool:
@@ -40,7 +40,7 @@
 class CommandResultListener(Protocol):
     """What is known of which machines can be reached; see ``machines/liveness.py``."""
 
-    def command_result(self, machine: Machine, reached: bool) -> None:
+    def record_command_result(self, machine: Machine, reached: bool) -> None:
         """Note whether a worker answered a direct command or a probe."""
         ...
 
@@ -50,7 +50,7 @@
 
     settings: Settings
     operator: OperatorSettings
-    lease: LeaseHolder
+    lease: LeaderLeaseView
     cluster: ClusterState
     write_ahead_log: WriteAheadLog
     actions: deque[Action]
@@ -118,11 +118,11 @@
         """Tell whether a machine of that name and type belongs to this shard."""
         ...
 
-    def is_home(self, job_id: str) -> bool:
+    def is_home_shard(self, job_id: str) -> bool:
         """Tell whether a new job of that id belongs here."""
         ...
 
-    def is_current_map(self, job_id: str, map_version: int) -> bool:
+    def is_routing_current(self, job_id: str, map_version: int) -> bool:
         """Tell whether that version of the shard map routes the job's requests rightly."""
         ...
 
@@ -186,7 +186,7 @@
     eligible_types: list[bool]
     """By machine type: whether the work may run there."""
     zones: list[int]
-    spread_by: int = 1
+    rentals_per_machine: int = 1
     """How many machines must be rented for one of them to reach the shard that needs it."""
 
 
@@ -212,17 +212,17 @@
     """Work that found no room in the last placement pass."""
     pending_rentals: dict[str, tuple[int, int, bool, int]]
     """By request: kind, zone, spot and count of what the cloud has not answered yet."""
-    arrivals: deque[tuple[float, float, float, bool, float]]
+    recent_submissions: deque[tuple[float, float, float, bool, float]]
     """Recent submissions: time, CPUs, GPUs, spot, and the seconds they may wait."""
     spot_groups: set[tuple[int, int]]
     """Spot markets in use, by kind and zone."""
     evicted_markets: dict[tuple[int, int], float]
     """Until when nothing is rented in a market that lost machines, monotonic seconds."""
-    recent_required: dict[bool, deque[tuple[float, float]]]
+    recent_required_capacity: dict[bool, deque[tuple[float, float]]]
     """By pool: time and required capacity, lately."""
     on_demand_spare: dict[bool, float]
     """By pool: on-demand capacity that is not needed."""
-    next_summary: float
+    next_summary_at: float
     """When the plan is summarized in the log next, in monotonic seconds."""
 
     @property
@@ -230,7 +230,7 @@
         """Which zones can be trusted."""
         ...
 
-    def is_crowded(self) -> bool:
+    def is_near_machine_limit(self) -> bool:
         """Tell whether the number of machines counts for more than their price.
 
         That is so once the nodes have connections left for less than half of the
@@ -258,7 +258,7 @@
         """Delete a machine; ``reason`` goes into the log."""
         ...
 
-    def evict_group(self, machine: Machine) -> None:
+    def evict_spot_group(self, machine: Machine) -> None:
         """Give up the spot market of a machine that the cloud takes back, if it is spot."""
         ...
 
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -110,7 +110,11 @@
             runtime,
         )
         self.workers = WorkerCalls(
-            self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
+            self._post,
+            connect,
+            runtime,
+            thread_count=capacity.worker_calls,
+            max_clients=capacity.worker_clients,
         )
         self.cloud = CloudCalls(
             self._post,
@@ -160,7 +164,7 @@
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
                 post=self._post,
-                load=lambda: self._events.qsize() / limits.max_queued,
+                load=lambda: self._events.qsize() / limits.max_queued_events,
                 is_worker_reachable=self.workers.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
@@ -333,7 +337,7 @@
             if scheduler.sharding is None:
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
-        self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
+        self._load_monitor.record_round(began, self.runtime.now(), handled, self._connections())
         if handled:
             # Events that come meanwhile are handled together in the next round: to wake up
             # for a single event costs more than handling it.
--- a/appleshift/placement/fit.py
+++ b/appleshift/placement/fit.py
@@ -60,7 +60,7 @@
 def stop_grace_s(run: TaskRun) -> float:
     """Return the time in seconds that a stopping task needs to save a checkpoint."""
     spec = run.job.spec
-    return spec.save_s if spec.checkpoint_s > 0 else 0.0
+    return spec.checkpoint_duration_s if spec.checkpoint_interval_s > 0 else 0.0
 
 
 def lost_work_s(run: TaskRun, now: float) -> float:
@@ -69,8 +69,8 @@
     This is the time to save a checkpoint or, without checkpoints, the whole run time.
     """
     spec = run.job.spec
-    if spec.checkpoint_s > 0:
-        return spec.save_s
+    if spec.checkpoint_interval_s > 0:
+        return spec.checkpoint_duration_s
     return max(0.0, now - run.running_since) if run.running_since else 0.0
 
 
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -12,9 +12,9 @@
 from appleshift.placement.fit import tasks_that_fit
 from appleshift.protocol import cloud
 from appleshift.protocol.sharding import (
-    GONE,
-    LEAVING,
-    MOVED,
+    REPORTED_DRAINING,
+    REPORTED_GONE,
+    REPORTED_MOVED,
     FleetPlan,
     MachineSummary,
     ShardSummary,
@@ -89,7 +89,7 @@
         return FleetPlan(
             scheduler.fencing_token,
             cluster.types,
-            sorted(self._to_return[summary.shard])[: cloud.MAX_DELETE],
+            sorted(self._to_return[summary.shard])[: cloud.MAX_MACHINES_PER_DELETION],
             fleet.on_demand_spare.get(False, 0.0) / plain,
             [(name, shard) for name, (shard, _) in moving.items()],
         )
@@ -97,7 +97,7 @@
     def _apply_machine_summary(self, shard: int, reported: MachineSummary) -> None:
         cluster, leaving = self._scheduler.cluster, self._to_return[shard]
         machine = cluster.machine(reported.name)
-        if reported.state == MOVED:
+        if reported.state == REPORTED_MOVED:
             # From now on the shard that accepted the machine reports it.
             leaving.discard(reported.name)
             if machine is not None and machine.in_other_shard:
@@ -108,7 +108,7 @@
         if machine is not None and not machine.in_other_shard:
             # The machine was transferred back to this shard meanwhile.
             return
-        if reported.state == GONE:
+        if reported.state == REPORTED_GONE:
             leaving.discard(reported.name)
             self._shard_of.pop(reported.name, None)
             self._moving[shard].pop(reported.name, None)
@@ -120,7 +120,7 @@
         )
         if machine is None:
             return
-        machine.cordoned = reported.state == LEAVING
+        machine.cordoned = reported.state == REPORTED_DRAINING
         if not reported.idle or machine.cordoned:
             leaving.discard(reported.name)
             machine.idle_since = 0.0
@@ -276,7 +276,7 @@
         cluster = self._scheduler.cluster
         found = []
         for summary in self._valid_summaries():
-            spread_by = (
+            rentals_per_machine = (
                 len(self._map.cpu_machine_shards)
                 if summary.shard in self._map.cpu_machine_shards
                 else 1
@@ -293,7 +293,7 @@
                         need.spot,
                         [kind.name in need.kinds for kind in cluster.types],
                         [zone for name in need.zones if (zone := cluster.zones.get(name)) >= 0],
-                        spread_by,
+                        rentals_per_machine,
                     )
                 )
         return found
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -264,7 +264,7 @@
         if best is None:
             return None
         return next(
-            ((shard, name) for shard, name in enumerate(best[1].preferred_holders) if name), None
+            ((shard, name) for shard, name in enumerate(best[1].preferred_leaders) if name), None
         )
 
     def _candidacy_delay_s(self, shard: int) -> float:
@@ -326,7 +326,7 @@
         scheduler = self._replicas[0].scheduler
         if scheduler is not None:
             limits = self.context.settings.deployment.machine_limits
-            connections = NodeLimits.from_machine_limits(limits, shared=True).machines
+            connections = NodeLimits.from_machine_limits(limits, sharded=True).machines
             nodes = min(len(self.context.peer_clients) + 1, shard_count)
             scheduler.fleet.set_max_machines(int(connections * nodes * MACHINES_PER_CONNECTION))
 
@@ -345,7 +345,7 @@
             status,
             held_shards=held_shards,
             shard_map_version=self.version,
-            preferred_holders=preferred_holders,
+            preferred_leaders=preferred_holders,
         )
 
     # -- calls between shards ----------------------------------------------------------------
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -71,11 +71,11 @@
         """Whether the shard map assigns a machine of this name and type to this shard."""
         return self._map.shard_of_machine(machine, kind) == self.shard
 
-    def is_home(self, job_id: str) -> bool:
+    def is_home_shard(self, job_id: str) -> bool:
         """Whether this shard accepts a new job of this id."""
         return self._map.home_shards(job_id)[0] == self.shard
 
-    def is_current_map(self, job_id: str, map_version: int) -> bool:
+    def is_routing_current(self, job_id: str, map_version: int) -> bool:
         """Whether ``map_version`` is the current version and may place the job in this shard.
 
         Only then does an unknown id mean that the job does not exist.
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -10,7 +10,7 @@
 
 from appleshift.protocol.cloud import MachineType
 from appleshift.protocol.settings import TeamLimits
-from appleshift.protocol.users import RANKS, Submission
+from appleshift.protocol.users import PRIORITY_RANKS, Submission
 from appleshift.state.entities import Job, Machine, TaskRun
 from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.state.name_index import NameIndex
@@ -71,7 +71,7 @@
         # if it is handed back.
         self.handed_off: dict[str, HandedOffMachine] = {}
         # By priority rank: the number of tasks that may be on machines.
-        self._runs_by_rank = [0] * len(RANKS)
+        self._runs_by_rank = [0] * len(PRIORITY_RANKS)
         # By job class: the moving average of the ratio of run time to estimate of its tasks.
         self.run_time_ratios: dict[str, float] = {}
         # The most CPUs and the most memory (GB) per GPU that any job with GPUs has requested;
