--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -16,7 +16,7 @@
 from appleshift.api.views import ShardReplicaView
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.protocol import users
-from appleshift.transport.client import HttpAnswer
+from appleshift.transport.client import HttpResponse
 from appleshift.transport.http_messages import Response
 
 VALID_FOR = "Valid-For-Ms"
@@ -61,7 +61,7 @@
         headers = {**response.headers, VALID_FOR: str(int(valid_for_s * 1000))}
         return Response(response.status, response.body, headers)
 
-    def forwarded_response(self, answer: HttpAnswer, asked_at: float) -> Response:
+    def forwarded_response(self, answer: HttpResponse, asked_at: float) -> Response:
         """A peer's answer to a request sent to it at ``asked_at``, while it is valid."""
         headers = {"Retry-After": answer.retry_after} if answer.retry_after else {}
         valid_for_ms = answer.valid_for_ms
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A response, with the header fields that callers use, as text."""
 
     status: int
@@ -48,7 +48,7 @@
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
         ...
 
@@ -81,9 +81,9 @@
             # Later on the parser would answer for the message after this one.
             self.reusable = self.parser.should_keep_alive()
 
-    def response(self) -> HttpAnswer:
+    def response(self) -> HttpResponse:
         """Return the response once it is complete."""
-        return HttpAnswer(
+        return HttpResponse(
             self.parser.get_status_code(),
             b"".join(self.parts),
             self.headers.get(RETRY_AFTER),
@@ -116,7 +116,7 @@
 
     def request_full(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
         if not path.isascii() or any(character in path for character in " \r\n"):
             raise ClientError(f"{path!r} cannot stand in a request line")
