--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -65,7 +65,9 @@
         try:
             body = request.body if request.method == "POST" else None
             sent_at = self._context.runtime.now()
-            answer = client.request_full(request.method, request.path, body, FORWARD_TIMEOUT_S)
+            answer = client.request_with_headers(
+                request.method, request.path, body, FORWARD_TIMEOUT_S
+            )
         except ClientError as error:
             log.debug("forward failed leader=%s path=%s error=%s", leader, request.path, error)
             return unavailable()
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -46,7 +46,7 @@
         """Return the status and body of the response; ClientError without one in time."""
         ...
 
-    def request_full(
+    def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
@@ -111,10 +111,10 @@
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> tuple[int, bytes]:
         """Return the status and body of the response; ClientError without one in time."""
-        response = self.request_full(method, path, body, timeout)
+        response = self.request_with_headers(method, path, body, timeout)
         return response.status, response.body
 
-    def request_full(
+    def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
