--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -98,11 +98,13 @@
     controller's time for direct commands; httptools does not.
     """
 
-    def __init__(self, address: tuple[str, int], keep: int = 4, idle_s: float = 20.0) -> None:
-        """Keep up to ``keep`` idle connections, each for ``idle_s`` seconds."""
+    def __init__(
+        self, address: tuple[str, int], max_idle_connections: int = 4, idle_timeout_s: float = 20.0
+    ) -> None:
+        """Keep up to ``max_idle_connections`` idle connections, each for ``idle_timeout_s`` seconds."""
         self._host, self._port = address
-        self._keep = keep
-        self._idle_s = idle_s
+        self._max_idle_connections = max_idle_connections
+        self._idle_timeout_s = idle_timeout_s
         # With the time of the monotonic clock since which each is idle; used last, first out.
         self._idle: deque[tuple[socket.socket, float]] = deque()
         self._lock = threading.Lock()
@@ -174,7 +176,7 @@
                 connection, idle_since = self._idle.pop()
                 # The server closes idle connections as well. A request on one that it is
                 # just closing would look like a request that was lost.
-                if now - idle_since < self._idle_s:
+                if now - idle_since < self._idle_timeout_s:
                     if connection.gettimeout() != timeout:
                         connection.settimeout(timeout)
                     return connection, True
@@ -185,7 +187,7 @@
 
     def _release(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._idle) < self._keep:
+            if len(self._idle) < self._max_idle_connections:
                 self._idle.append((connection, time.monotonic()))
                 return
         connection.close()
