--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -13,11 +13,11 @@
 
 CONTENT_TYPE = "application/msgpack"
 """Of all bodies that are sent."""
-RETRY_AFTER, VALID_FOR = b"retry-after", b"valid-for-ms"
+RETRY_AFTER_HEADER, VALID_FOR_HEADER = b"retry-after", b"valid-for-ms"
 """The only header fields that are kept, in lower case."""
-MAX_RESPONSE = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 """Largest response in bytes: lists and logs can be long, but no correct one is longer."""
-_RECEIVE_SIZE = 65536
+_RECEIVE_BYTES = 65536
 """Most bytes that one system call receives."""
 
 
@@ -69,7 +69,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        if key in (RETRY_AFTER, VALID_FOR):
+        if key in (RETRY_AFTER_HEADER, VALID_FOR_HEADER):
             self.headers[key] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
@@ -86,8 +86,8 @@
         return HttpResponse(
             self.parser.get_status_code(),
             b"".join(self.parts),
-            self.headers.get(RETRY_AFTER),
-            self.headers.get(VALID_FOR),
+            self.headers.get(RETRY_AFTER_HEADER),
+            self.headers.get(VALID_FOR_HEADER),
         )
 
 
@@ -153,11 +153,11 @@
         reader = _ResponseReader()
         size = 0
         while not reader.complete:
-            data = connection.recv(_RECEIVE_SIZE)
+            data = connection.recv(_RECEIVE_BYTES)
             if not data:
                 raise ValueError("the connection ended within the response")
             size += len(data)
-            if size > MAX_RESPONSE:
+            if size > MAX_RESPONSE_BYTES:
                 raise ValueError("the response is too large")
             reader.parser.feed_data(data)
             if not reader.complete:
--- a/appleshift/transport/concurrency.py
+++ b/appleshift/transport/concurrency.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-STACK_BYTES = 256 * 1024
+THREAD_STACK_BYTES = 256 * 1024
 """Size of each thread's stack."""
 
 
@@ -92,7 +92,7 @@
     def __init__(self) -> None:
         """Set the stack size of all threads that the process starts from now on."""
         # Hundreds of connections have a thread each: the default stacks are too large.
-        threading.stack_size(STACK_BYTES)
+        threading.stack_size(THREAD_STACK_BYTES)
 
     now = staticmethod(time.monotonic)
     wall_time = staticmethod(time.time)
--- a/appleshift/transport/request_handler.py
+++ b/appleshift/transport/request_handler.py
@@ -12,9 +12,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
 """Largest body of a request, in bytes."""
-MAX_HEAD = 16 * 1024
+MAX_REQUEST_HEAD_BYTES = 16 * 1024
 """Largest size of all header lines of a request together, in bytes."""
 _MAX_LENGTH_DIGITS = 9
 """Numbers with more digits are not even converted: that takes time for very long ones."""
@@ -79,9 +79,9 @@
         self.header_fields: dict[str, str] = {}
         size = 0
         while True:
-            line = self.rfile.readline(MAX_HEAD + 1)
+            line = self.rfile.readline(MAX_REQUEST_HEAD_BYTES + 1)
             size += len(line)
-            if size > MAX_HEAD:
+            if size > MAX_REQUEST_HEAD_BYTES:
                 self.send_error(431)
                 return False
             if line in (b"\r\n", b"\n"):
@@ -117,7 +117,7 @@
         if not (length.isascii() and length.isdecimal()):
             self._refuse(400)
             return None
-        if len(length) > _MAX_LENGTH_DIGITS or int(length) > MAX_BODY:
+        if len(length) > _MAX_LENGTH_DIGITS or int(length) > MAX_REQUEST_BODY_BYTES:
             self._refuse(413)
             return None
         body = self.rfile.read(int(length))
