--- a/appleshift/transport/connection_deadlines.py
+++ b/appleshift/transport/connection_deadlines.py
@@ -14,13 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 30.0
+IDLE_TIMEOUT_S = 30.0
 """Seconds without a request after which a connection is closed."""
-REQUEST_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 """Seconds that a request may take from its first line to its last byte."""
-RESPONSE_S = 10.0
+RESPONSE_TIMEOUT_S = 10.0
 """Seconds that a response may take, until its client has accepted all of it."""
-CROWDED_IDLE_S = 5.0
+AT_LIMIT_IDLE_TIMEOUT_S = 5.0
 """If the listener is at its limit, a connection that was idle for this many seconds is closed:
 clients that send requests keep theirs in a flood of those who do not."""
 
@@ -52,17 +52,17 @@
     def await_request(self, connection: socket.socket) -> None:
         """From now on the connection is idle until its client sends a request."""
         now = time.monotonic()
-        self._deadlines[connection] = _Deadline(now, now + IDLE_S, True)
+        self._deadlines[connection] = _Deadline(now, now + IDLE_TIMEOUT_S, True)
 
     def await_rest_of_request(self, connection: socket.socket) -> None:
         """A request has begun to arrive."""
         now = time.monotonic()
-        self._deadlines[connection] = _Deadline(now, now + REQUEST_S, False)
+        self._deadlines[connection] = _Deadline(now, now + REQUEST_TIMEOUT_S, False)
 
     def await_response_sent(self, connection: socket.socket) -> None:
         """A request has arrived; its answer is due."""
         now = time.monotonic()
-        self._deadlines[connection] = _Deadline(now, now + RESPONSE_S, False)
+        self._deadlines[connection] = _Deadline(now, now + RESPONSE_TIMEOUT_S, False)
 
     def remove(self, connection: socket.socket) -> None:
         """Forget a connection that was closed."""
@@ -83,7 +83,7 @@
             if deadline.idle
         ]
         since, oldest = min(idle, key=lambda entry: entry[0], default=(math.inf, None))
-        if oldest is not None and time.monotonic() - since > CROWDED_IDLE_S:
+        if oldest is not None and time.monotonic() - since > AT_LIMIT_IDLE_TIMEOUT_S:
             _shut_down(oldest)
 
     def shut_down_all(self) -> None:
