--- a/appleshift/transport/connection_deadlines.py
+++ b/appleshift/transport/connection_deadlines.py
@@ -49,17 +49,17 @@
         """Count the open connections."""
         return len(self._deadlines)
 
-    def await_request(self, connection: socket.socket) -> None:
+    def mark_idle(self, connection: socket.socket) -> None:
         """From now on the connection is idle until its client sends a request."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + IDLE_TIMEOUT_S, True)
 
-    def await_rest_of_request(self, connection: socket.socket) -> None:
+    def mark_receiving(self, connection: socket.socket) -> None:
         """A request has begun to arrive."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + REQUEST_TIMEOUT_S, False)
 
-    def await_response_sent(self, connection: socket.socket) -> None:
+    def mark_responding(self, connection: socket.socket) -> None:
         """A request has arrived; its answer is due."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + RESPONSE_TIMEOUT_S, False)
--- a/appleshift/transport/pooled_request_handler.py
+++ b/appleshift/transport/pooled_request_handler.py
@@ -20,7 +20,7 @@
 
     def _expect_request(self) -> None:
         # The first bytes of the request are there, and a thread waits for the others.
-        self.deadlines.await_rest_of_request(self.connection)
+        self.deadlines.mark_receiving(self.connection)
 
     def serve_arrived(self) -> bool:
         """Answer the requests that have begun to arrive; False: the connection is over."""
@@ -33,7 +33,7 @@
             self.server.handle_error(self.connection, self.client_address)
             return False
         if not self.close_connection:
-            self.deadlines.await_request(self.connection)
+            self.deadlines.mark_idle(self.connection)
         return not self.close_connection
 
     def _more_arrived(self) -> bool:
--- a/appleshift/transport/request_handler.py
+++ b/appleshift/transport/request_handler.py
@@ -43,7 +43,7 @@
         super().handle_one_request()
 
     def _expect_request(self) -> None:
-        self.deadlines.await_request(self.connection)
+        self.deadlines.mark_idle(self.connection)
 
     def parse_request(self) -> bool:
         """Read the head of a request; False if it was refused.
@@ -51,7 +51,7 @@
         ``http.server`` parses it as if it were mail, which took a third of the time that a
         worker's heartbeat costs.
         """
-        self.deadlines.await_rest_of_request(self.connection)
+        self.deadlines.mark_receiving(self.connection)
         # Until the head is understood, nobody can tell where another request would begin.
         self.close_connection = True
         if not self._parse_request_line() or not self._read_header_fields():
@@ -100,7 +100,7 @@
     def _serve(self) -> None:
         body = self._read_body()
         if body is not None:
-            self.deadlines.await_response_sent(self.connection)
+            self.deadlines.mark_responding(self.connection)
             response = self.app(Request(self.command, self.path, body))
             # Nothing blocks between here and the write. A process that was suspended after
             # it had made the response out therefore notices that it is out of date.
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -100,7 +100,7 @@
 
     def process_request_thread(self, request: Any, client_address: Any) -> None:
         """Serve a connection in a thread of its own until it ends."""
-        self._deadlines.await_request(request)
+        self._deadlines.mark_idle(request)
         try:
             super().process_request_thread(request, client_address)
         finally:
@@ -118,7 +118,7 @@
             self._slots.release()
             self.shutdown_request(request)
             return
-        self._deadlines.await_request(request)
+        self._deadlines.mark_idle(request)
         idle.add(handler)
 
     def _close_pooled(self, handler: PooledRequestHandler) -> None:
