--- a/appleshift/transport/idle_connections.py
+++ b/appleshift/transport/pooled_connections.py
@@ -20,27 +20,27 @@
 """Only one thread is woken when something arrives, until the connection is watched again."""
 
 
-class Connection(Protocol):
+class ServedConnection(Protocol):
     """A connection that answers what has arrived without waiting for more requests."""
 
     connection: socket.socket
 
-    def serve_arrived(self) -> bool:
+    def serve_received_requests(self) -> bool:
         """Answer the requests that have begun to arrive; False: the connection is over."""
         ...
 
 
-ConnectionT = TypeVar("ConnectionT", bound=Connection)
+ServedConnectionT = TypeVar("ServedConnectionT", bound=ServedConnection)
 
 
-class IdleConnections(Generic[ConnectionT]):
+class PooledConnections(Generic[ServedConnectionT]):
     """Between requests the kernel watches a connection; within one, a thread serves it.
 
     Only the thread that serves a connection closes it, after it has ended the kernel's watch:
     a file descriptor that is used again is then never mistaken for its predecessor.
     """
 
-    def __init__(self, name: str, threads: int, close: Callable[[ConnectionT], None]) -> None:
+    def __init__(self, name: str, threads: int, close: Callable[[ServedConnectionT], None]) -> None:
         """Serve with up to ``threads`` threads; ``close`` is called once per connection."""
         self._name = name
         self._threads = threads
@@ -48,13 +48,13 @@
         self._lock = threading.Lock()
         self._started = 0
         self._stopped = False
-        self._connections: dict[int, ConnectionT] = {}
+        self._connections: dict[int, ServedConnectionT] = {}
         self._epoll = select.epoll()
         # Becomes readable for every thread once the sending end is closed.
         self._stop_receiver, self._stop_sender = socket.socketpair()
         self._epoll.register(self._stop_receiver, select.EPOLLIN)
 
-    def add(self, connection: ConnectionT) -> None:
+    def add(self, connection: ServedConnectionT) -> None:
         """Watch a new connection; it is closed at once if no thread can serve it."""
         descriptor = connection.connection.fileno()
         with self._lock:
@@ -100,7 +100,7 @@
             self._close_all()
 
     def _serve(self, descriptor: int) -> None:
-        if self._connections[descriptor].serve_arrived() and not self._stopped:
+        if self._connections[descriptor].serve_received_requests() and not self._stopped:
             self._epoll.modify(descriptor, _READABLE_ONCE)
         else:
             self._epoll.unregister(descriptor)
--- a/appleshift/transport/pooled_request_handler.py
+++ b/appleshift/transport/pooled_request_handler.py
@@ -22,7 +22,7 @@
         # The first bytes of the request are there, and a thread waits for the others.
         self.deadlines.mark_receiving(self.connection)
 
-    def serve_arrived(self) -> bool:
+    def serve_received_requests(self) -> bool:
         """Answer the requests that have begun to arrive; False: the connection is over."""
         try:
             self.handle_one_request()
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -12,7 +12,7 @@
 
 from appleshift.transport.connection_deadlines import ConnectionDeadlines
 from appleshift.transport.http_messages import App
-from appleshift.transport.idle_connections import IdleConnections
+from appleshift.transport.pooled_connections import PooledConnections
 from appleshift.transport.pooled_request_handler import PooledRequestHandler
 from appleshift.transport.request_handler import RequestHandler
 
@@ -62,10 +62,10 @@
         self._limit, self._refused = limit, 0
         bound = {"app": staticmethod(app), "deadlines": self._deadlines}
         handler = type("BoundHandler", (RequestHandler,), bound)
-        self._pooled_handler = type("BoundPooledHandler", (PooledRequestHandler,), bound)
-        self._idle: IdleConnections[PooledRequestHandler] | None = None
+        self._pooled_handler_class = type("BoundPooledHandler", (PooledRequestHandler,), bound)
+        self._pooled_connections: PooledConnections[PooledRequestHandler] | None = None
         if threads is not None and threads < limit:
-            self._idle = IdleConnections(name, pool, self._close_pooled)
+            self._pooled_connections = PooledConnections(name, pool, self._close_pooled)
         super().__init__(address, handler)
 
     def server_bind(self) -> None:
@@ -86,8 +86,8 @@
             self.shutdown_request(request)
             self._deadlines.shut_down_longest_idle()
             return
-        if not self._own_threads.acquire(blocking=False) and self._idle is not None:
-            self._process_pooled(request, client_address, self._idle)
+        if not self._own_threads.acquire(blocking=False) and self._pooled_connections is not None:
+            self._process_pooled(request, client_address, self._pooled_connections)
             return
         try:
             super().process_request(request, client_address)
@@ -109,17 +109,20 @@
             self._slots.release()
 
     def _process_pooled(
-        self, request: Any, client_address: Any, idle: IdleConnections[PooledRequestHandler]
+        self,
+        request: Any,
+        client_address: Any,
+        pooled_connections: PooledConnections[PooledRequestHandler],
     ) -> None:
         try:
-            handler = self._pooled_handler(request, client_address, self)
+            handler = self._pooled_handler_class(request, client_address, self)
         except OSError:
             self.handle_error(request, client_address)
             self._slots.release()
             self.shutdown_request(request)
             return
         self._deadlines.mark_idle(request)
-        idle.add(handler)
+        pooled_connections.add(handler)
 
     def _close_pooled(self, handler: PooledRequestHandler) -> None:
         try:
@@ -168,5 +171,5 @@
         self.shutdown()
         self.server_close()
         self._deadlines.shut_down_all()
-        if self._idle is not None:
-            self._idle.stop()
+        if self._pooled_connections is not None:
+            self._pooled_connections.stop()
