--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -206,7 +206,12 @@
         )
         for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
-                split_address(address), app, limit, name, threads=threads, pool=POOL_THREADS
+                split_address(address),
+                app,
+                limit,
+                name,
+                dedicated_threads=threads,
+                pool_threads=POOL_THREADS,
             )
             self._listeners.append(listener)
 
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -1,5 +1,7 @@
-"""An HTTP listener: a thread for each connection up to a number of them, beyond it a pool of
-threads for the connections on which something arrives, and a bound on all connections."""
+"""An HTTP listener with a limit on its connections.
+
+Up to a number of connections, each has a dedicated thread. A pool of threads serves the others.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
 
 
 class HttpListener(ThreadingHTTPServer):
-    """Accepts connections up to a limit; beyond it they are closed at once.
+    """Accepts connections up to a limit and closes those beyond the limit at once.
 
     A connection that waits too long, for a request, for the rest of one or until a response
     is accepted, is closed by the accepting thread, which checks all of them about once a
@@ -44,28 +46,32 @@
         self,
         address: tuple[str, int],
         app: App,
-        limit: int,
+        max_connections: int,
         name: str,
-        threads: int | None = None,
-        pool: int = 1,
+        dedicated_threads: int | None = None,
+        pool_threads: int = 1,
     ) -> None:
-        """Bind the address; OSError if it cannot be had.
+        """Bind the address; OSError if that fails.
 
-        ``threads`` connections have a thread of their own (None: all of them); the others, up
-        to ``limit`` in all, share ``pool`` threads.
+        Up to ``dedicated_threads`` connections have one thread each (None: all connections).
+        The others, up to ``max_connections`` in total, share ``pool_threads`` threads.
         """
-        self._slots = threading.BoundedSemaphore(limit)
-        self._own_threads = threading.BoundedSemaphore(limit if threads is None else threads)
+        self._connection_slots = threading.BoundedSemaphore(max_connections)
+        self._dedicated_thread_slots = threading.BoundedSemaphore(
+            max_connections if dedicated_threads is None else dedicated_threads
+        )
         self._name = name
         self._deadlines = ConnectionDeadlines()
         self._next_check = self._next_log = 0.0
-        self._limit, self._refused = limit, 0
-        bound = {"app": staticmethod(app), "deadlines": self._deadlines}
-        handler = type("BoundHandler", (RequestHandler,), bound)
-        self._pooled_handler_class = type("BoundPooledHandler", (PooledRequestHandler,), bound)
+        self._max_connections, self._refused = max_connections, 0
+        class_attributes = {"app": staticmethod(app), "deadlines": self._deadlines}
+        handler = type("BoundHandler", (RequestHandler,), class_attributes)
+        self._pooled_handler_class = type(
+            "BoundPooledHandler", (PooledRequestHandler,), class_attributes
+        )
         self._pooled_connections: PooledConnections[PooledRequestHandler] | None = None
-        if threads is not None and threads < limit:
-            self._pooled_connections = PooledConnections(name, pool, self._close_pooled)
+        if dedicated_threads is not None and dedicated_threads < max_connections:
+            self._pooled_connections = PooledConnections(name, pool_threads, self._close_pooled)
         super().__init__(address, handler)
 
     def server_bind(self) -> None:
@@ -80,13 +86,16 @@
         return len(self._deadlines)
 
     def process_request(self, request: Any, client_address: Any) -> None:
-        """Give a new connection a thread, or to the pool; refuse it beyond the limit."""
-        if not self._slots.acquire(blocking=False):
+        """Assign a new connection to a dedicated thread or to the pool; refuse it at the limit."""
+        if not self._connection_slots.acquire(blocking=False):
             self._refused += 1
             self.shutdown_request(request)
             self._deadlines.shut_down_longest_idle()
             return
-        if not self._own_threads.acquire(blocking=False) and self._pooled_connections is not None:
+        if (
+            not self._dedicated_thread_slots.acquire(blocking=False)
+            and self._pooled_connections is not None
+        ):
             self._process_pooled(request, client_address, self._pooled_connections)
             return
         try:
@@ -94,8 +103,8 @@
         except RuntimeError:
             # The operating system grants no more threads.
             self._refused += 1
-            self._own_threads.release()
-            self._slots.release()
+            self._dedicated_thread_slots.release()
+            self._connection_slots.release()
             self.shutdown_request(request)
 
     def process_request_thread(self, request: Any, client_address: Any) -> None:
@@ -105,8 +114,8 @@
             super().process_request_thread(request, client_address)
         finally:
             self._deadlines.remove(request)
-            self._own_threads.release()
-            self._slots.release()
+            self._dedicated_thread_slots.release()
+            self._connection_slots.release()
 
     def _process_pooled(
         self,
@@ -118,7 +127,7 @@
             handler = self._pooled_handler_class(request, client_address, self)
         except OSError:
             self.handle_error(request, client_address)
-            self._slots.release()
+            self._connection_slots.release()
             self.shutdown_request(request)
             return
         self._deadlines.mark_idle(request)
@@ -133,7 +142,7 @@
         finally:
             self.shutdown_request(handler.connection)
             self._deadlines.remove(handler.connection)
-            self._slots.release()
+            self._connection_slots.release()
 
     def service_actions(self) -> None:
         """Check deadlines; called after each connection and a few times a second without any."""
@@ -149,7 +158,7 @@
                 self._name,
                 self._refused,
                 self.connections(),
-                self._limit,
+                self._max_connections,
             )
             self._refused = 0
 
