--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -169,7 +169,7 @@
                 ),
                 own_status=self._own_status,
                 shard_map=self._shard_map,
-                is_crowded=lambda: self._connections() > CROWDED_SHARE * limits.connections,
+                is_crowded=lambda: self._connection_count() > CROWDED_SHARE * limits.connections,
                 heartbeat_received=self.connectivity.heartbeat_received,
             )
         )
@@ -338,7 +338,9 @@
             if scheduler.sharding is None:
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
-        self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
+        self._load_monitor.round_finished(
+            began, self.runtime.now(), handled, self._connection_count()
+        )
         if handled:
             # Events that come meanwhile are handled together in the next round: to wake up
             # for a single event costs more than handling it.
@@ -361,8 +363,8 @@
             self._handle(self._events.get_nowait())
         return handled
 
-    def _connections(self) -> int:
-        return self._listeners[-1].connections() if self._listeners else 0
+    def _connection_count(self) -> int:
+        return self._listeners[-1].connection_count() if self._listeners else 0
 
     def _handle(self, event: events.Event) -> None:
         if isinstance(event, events.HandOverRequested):
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -81,7 +81,7 @@
         self.server_address = self.socket.getsockname()
         self.server_name, self.server_port = str(self.server_address[0]), self.server_address[1]
 
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Count the open connections."""
         return len(self._deadlines)
 
@@ -157,7 +157,7 @@
                 "connections refused listener=%s refused=%d open=%d limit=%d",
                 self._name,
                 self._refused,
-                self.connections(),
+                self.connection_count(),
                 self._max_connections,
             )
             self._refused = 0
