--- a/appleshift/transport/http_messages.py
+++ b/appleshift/transport/http_messages.py
@@ -29,7 +29,7 @@
     """Called right before the response is sent: returns what is to be sent instead, if what
     it says may be out of date by then."""
 
-    def current(self) -> Response:
+    def revalidated(self) -> Response:
         """Return the response that is to be sent now."""
         return self if self.revalidate is None else self.revalidate(self)
 
--- a/appleshift/transport/request_handler.py
+++ b/appleshift/transport/request_handler.py
@@ -104,7 +104,7 @@
             response = self.app(Request(self.command, self.path, body))
             # Nothing blocks between here and the write. A process that was suspended after
             # it had made the response out therefore notices that it is out of date.
-            self._send(response.current())
+            self._send(response.revalidated())
 
     do_GET = do_POST = do_DELETE = do_PUT = do_HEAD = do_PATCH = do_OPTIONS = _serve  # noqa: N815 (http.server looks methods up by these names)
 
