--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -23,7 +23,7 @@
 from appleshift.protocol.wire import ProtocolError, decode
 from appleshift.transport.client import ClientError, HttpClient
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 """Values of the environment variable LOG_LEVEL."""
 
 EXIT_OK = 0
@@ -104,12 +104,12 @@
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(level, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
-    if level not in LEVELS:
+    if level not in LOG_LEVELS:
         logging.warning(
-            "log level unknown LOG_LEVEL=%s accepted=%s using=info", level, ",".join(LEVELS)
+            "log level unknown LOG_LEVEL=%s accepted=%s using=info", level, ",".join(LOG_LEVELS)
         )
 
 
