--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -109,10 +109,10 @@
             deployment.state.rps * (STORE_RATE_FRACTION / nodes),
             runtime,
         )
-        self.workers = WorkerCalls(
+        self.worker_calls = WorkerCalls(
             self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
         )
-        self.cloud = CloudCalls(
+        self.cloud_calls = CloudCalls(
             self._post,
             connect(split_address(settings.external.cloud)),
             runtime,
@@ -132,15 +132,15 @@
             self._post,
             # Identifies the writes of this process; a restarted one gets another.
             f"{settings.name}.{secrets.token_hex(4)}",
-            self.workers,
-            self.cloud,
+            self.worker_calls,
+            self.cloud_calls,
             self._stop,
         )
 
     def _make_peer_monitoring(self) -> None:
         peer_clients, runtime = self._peer_clients, self.runtime
         self.connectivity = ConnectivityMonitor(
-            self.workers.is_reachable,
+            self.worker_calls.is_reachable,
             lambda: self.store.is_answering,
             lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
@@ -161,7 +161,7 @@
                 peer_clients=self._peer_clients,
                 post=self._post,
                 load=lambda: self._events.qsize() / limits.max_queued,
-                is_worker_reachable=self.workers.is_reachable,
+                is_worker_reachable=self.worker_calls.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
                 max_machines=lambda: relay_assignment.max_machines(
@@ -219,7 +219,7 @@
         """Start all threads; ``listen`` has bound the addresses."""
         _set_up_garbage_collector()
         self.runtime.spawn("core", self._run_loop)
-        self.cloud.start()
+        self.cloud_calls.start()
         for listener in self._listeners:
             listener.start()
         self._started = True
@@ -245,8 +245,8 @@
             self._post(events.LeadershipLost(replica.shard))
         for listener in self._listeners:
             listener.stop()
-        self.cloud.stop()
-        self.workers.stop()
+        self.cloud_calls.stop()
+        self.worker_calls.stop()
         self.router.stop()
         if self.shard_map_follower is not None:
             self.shard_map_follower.stop()
@@ -318,7 +318,7 @@
                 for replica in [*self.replicas.values()]:
                     replica.scheduler = replica.term = None
                     replica.election.step_down()
-                self.cloud.set_term(None)
+                self.cloud_calls.set_term(None)
 
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
