--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -101,7 +101,7 @@
     def __init__(
         self, address: tuple[str, int], max_idle_connections: int = 4, idle_timeout_s: float = 20.0
     ) -> None:
-        """Keep up to ``max_idle_connections`` idle connections, each for ``idle_timeout_s`` seconds."""
+        """Set how many idle connections are kept, and for how many seconds each."""
         self._host, self._port = address
         self._max_idle_connections = max_idle_connections
         self._idle_timeout_s = idle_timeout_s
@@ -121,7 +121,7 @@
     ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
         if not path.isascii() or any(character in path for character in " \r\n"):
-            raise ClientError(f"{path!r} cannot stand in a request line")
+            raise ClientError(f"{path!r} is not allowed in a request line")
         head = f"{method} {path} HTTP/1.1\r\nHost: {self._host}:{self._port}\r\n"
         if body is not None:
             head += f"Content-Type: {CONTENT_TYPE}\r\nContent-Length: {len(body)}\r\n"
