--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -13,16 +13,16 @@
 
 CONTENT_TYPE = "application/msgpack"
 """Of all bodies that are sent."""
-RETRY_AFTER, VALID_FOR = b"retry-after", b"valid-for-ms"
+RETRY_AFTER_HEADER, VALID_FOR_HEADER = b"retry-after", b"valid-for-ms"
 """The only header fields that are kept, in lower case."""
-MAX_RESPONSE = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 """Largest response in bytes: lists and logs can be long, but no correct one is longer."""
-_RECEIVE_SIZE = 65536
+_RECEIVE_BYTES = 65536
 """Most bytes that one system call receives."""
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A response, with the header fields that callers use, as text."""
 
     status: int
@@ -46,9 +46,9 @@
         """Return the status and body of the response; ClientError without one in time."""
         ...
 
-    def request_full(
+    def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
         ...
 
@@ -69,7 +69,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        if key in (RETRY_AFTER, VALID_FOR):
+        if key in (RETRY_AFTER_HEADER, VALID_FOR_HEADER):
             self.headers[key] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
@@ -81,13 +81,13 @@
             # Later on the parser would answer for the message after this one.
             self.reusable = self.parser.should_keep_alive()
 
-    def response(self) -> HttpAnswer:
+    def response(self) -> HttpResponse:
         """Return the response once it is complete."""
-        return HttpAnswer(
+        return HttpResponse(
             self.parser.get_status_code(),
             b"".join(self.parts),
-            self.headers.get(RETRY_AFTER),
-            self.headers.get(VALID_FOR),
+            self.headers.get(RETRY_AFTER_HEADER),
+            self.headers.get(VALID_FOR_HEADER),
         )
 
 
@@ -98,11 +98,13 @@
     controller's time for direct commands; httptools does not.
     """
 
-    def __init__(self, address: tuple[str, int], keep: int = 4, idle_s: float = 20.0) -> None:
-        """Keep up to ``keep`` idle connections, each for ``idle_s`` seconds."""
+    def __init__(
+        self, address: tuple[str, int], max_idle_connections: int = 4, idle_timeout_s: float = 20.0
+    ) -> None:
+        """Set how many idle connections are kept, and for how many seconds each."""
         self._host, self._port = address
-        self._keep = keep
-        self._idle_s = idle_s
+        self._max_idle_connections = max_idle_connections
+        self._idle_timeout_s = idle_timeout_s
         # With the time of the monotonic clock since which each is idle; used last, first out.
         self._idle: deque[tuple[socket.socket, float]] = deque()
         self._lock = threading.Lock()
@@ -111,15 +113,15 @@
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> tuple[int, bytes]:
         """Return the status and body of the response; ClientError without one in time."""
-        response = self.request_full(method, path, body, timeout)
+        response = self.request_with_headers(method, path, body, timeout)
         return response.status, response.body
 
-    def request_full(
+    def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Like ``request``, with the header fields of the response."""
         if not path.isascii() or any(character in path for character in " \r\n"):
-            raise ClientError(f"{path!r} cannot stand in a request line")
+            raise ClientError(f"{path!r} is not allowed in a request line")
         head = f"{method} {path} HTTP/1.1\r\nHost: {self._host}:{self._port}\r\n"
         if body is not None:
             head += f"Content-Type: {CONTENT_TYPE}\r\nContent-Length: {len(body)}\r\n"
@@ -151,11 +153,11 @@
         reader = _ResponseReader()
         size = 0
         while not reader.complete:
-            data = connection.recv(_RECEIVE_SIZE)
+            data = connection.recv(_RECEIVE_BYTES)
             if not data:
                 raise ValueError("the connection ended within the response")
             size += len(data)
-            if size > MAX_RESPONSE:
+            if size > MAX_RESPONSE_BYTES:
                 raise ValueError("the response is too large")
             reader.parser.feed_data(data)
             if not reader.complete:
@@ -174,7 +176,7 @@
                 connection, idle_since = self._idle.pop()
                 # The server closes idle connections as well. A request on one that it is
                 # just closing would look like a request that was lost.
-                if now - idle_since < self._idle_s:
+                if now - idle_since < self._idle_timeout_s:
                     if connection.gettimeout() != timeout:
                         connection.settimeout(timeout)
                     return connection, True
@@ -185,7 +187,7 @@
 
     def _release(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._idle) < self._keep:
+            if len(self._idle) < self._max_idle_connections:
                 self._idle.append((connection, time.monotonic()))
                 return
         connection.close()
