--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -92,7 +92,7 @@
         connectivity = status.connectivity
         if connectivity is None:
             # A peer of an older version, which does not send it.
-            self._peer_reports.forget(peer)
+            self._peer_reports.remove(peer)
         else:
             self._peer_reports.update(peer, _report(connectivity, now))
         if status.entitled and not self._is_leader():
@@ -101,11 +101,11 @@
             elif connectivity is not None:
                 # A leader that no worker reaches still names those that once did: this one
                 # has no workers.
-                self.worker_contacts.forget()
+                self.worker_contacts.clear()
 
     def peer_restarted(self, peer: str) -> None:
         """Drop what an earlier process of a peer reported."""
-        self._peer_reports.forget(peer)
+        self._peer_reports.remove(peer)
 
     # -- probes ------------------------------------------------------------------------
 
@@ -115,7 +115,7 @@
         while not self._stop.is_set():
             now = self._runtime.now()
             # Without misses one thread is enough; a leader receives heartbeats all the time.
-            if is_first or self._is_leader() or self.worker_contacts.is_suspect():
+            if is_first or self._is_leader() or self.worker_contacts.has_unanswered_probes():
                 address = self.worker_contacts.next_to_probe(now)
                 if address is not None:
                     self._probe(address)
@@ -126,7 +126,7 @@
     def _probe(self, address: str) -> bool:
         sent = self._runtime.now()
         answered = self._probe_worker(address)
-        self.worker_contacts.probed(address, sent, self._runtime.now(), answered)
+        self.worker_contacts.record_probe(address, sent, self._runtime.now(), answered)
         return answered
 
     # -- what follows for leadership -----------------------------------------------------
@@ -178,7 +178,7 @@
         address = contacts.next_in_sample()
         if address is None or contacts.had_contact_within(now, ELECTION_CONTACT_S):
             return 0.0
-        if not contacts.is_lost() and self._probe(address):
+        if not contacts.workers_unreachable() and self._probe(address):
             return 0.0
         now = self._runtime.now()
         others = self._peer_reports.reaching_workers(now, contacts.unanswered_since)
--- a/appleshift/connectivity/peer_reports.py
+++ b/appleshift/connectivity/peer_reports.py
@@ -59,7 +59,7 @@
         """Replace a peer's report by a newer one."""
         self._reports[peer] = report
 
-    def forget(self, peer: str) -> None:
+    def remove(self, peer: str) -> None:
         """Drop a peer's report: it is another process now, and has not reported yet."""
         self._reports.pop(peer, None)
 
--- a/appleshift/connectivity/worker_contacts.py
+++ b/appleshift/connectivity/worker_contacts.py
@@ -80,7 +80,7 @@
         if sample and sample != self.sample:
             self.sample = sample
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """There are no workers: no miss counts, and nobody waits for their answers."""
         self.sample = self._unanswered = ()
 
@@ -95,9 +95,9 @@
             times = self._heartbeat_times = (*self._heartbeat_times[1 - MIN_HEARTBEATS :], now)
             if len(times) < MIN_HEARTBEATS or now - times[0] > QUIET_S:
                 return
-        self.contact(now)
+        self.record_contact(now)
 
-    def contact(self, now: float) -> None:
+    def record_contact(self, now: float) -> None:
         """Note that a worker answered, or that heartbeats flow."""
         if (
             self._last_contact is None
@@ -108,10 +108,10 @@
         if self._unanswered:
             self._unanswered = ()
 
-    def probed(self, address: str, sent: float, now: float, answered: bool) -> None:
+    def record_probe(self, address: str, sent: float, now: float, answered: bool) -> None:
         """Note the outcome of a probe sent at ``sent``."""
         if answered:
-            self.contact(now)
+            self.record_contact(now)
         elif now - sent > PROBE_TIMEOUT_S + LATE_MARGIN_S:
             # It was this node that was late.
             self._unanswered = ()
@@ -146,11 +146,11 @@
         is_quiet = self._unanswered or now - last_contact >= QUIET_S
         return QUIET_POLL_INTERVAL_S if is_quiet else POLL_INTERVAL_S
 
-    def is_suspect(self) -> bool:
+    def has_unanswered_probes(self) -> bool:
         """Whether a worker did not answer: several are probed at once until one does."""
         return bool(self._unanswered)
 
-    def is_lost(self) -> bool:
+    def workers_unreachable(self) -> bool:
         """Whether no worker answers any more, as far as this node can tell."""
         unanswered = self._unanswered
         return len(unanswered) >= MIN_UNANSWERED and len({*unanswered}) >= min(2, len(self.sample))
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -372,7 +372,7 @@
             return
         self._next_sample_update = now + SAMPLE_INTERVAL_S
         if not scheduler.cluster.machines:
-            self.connectivity.worker_contacts.forget()
+            self.connectivity.worker_contacts.clear()
         by_zone: dict[int, list[str]] = {}
         for machine in scheduler.cluster.machines.values():
             addresses = by_zone.setdefault(machine.zone, [])
