--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -85,18 +85,18 @@
         """End the endpoints' own threads."""
         self._workers.stop()
 
-    def public(self, request: Request) -> Response:
+    def handle_public(self, request: Request) -> Response:
         """Answer users, workers and health checks."""
-        return self._guarded(request, forwarded=False)
+        return self._route_safely(request, forwarded=False)
 
-    def cluster(self, request: Request) -> Response:
+    def handle_cluster(self, request: Request) -> Response:
         """Answer peers: their own calls, and users' requests that they forward."""
         handler = self._peer_routes.get((request.method, request.path))
         if handler is not None:
             return handler(request.body)
-        return self._guarded(request, forwarded=True)
+        return self._route_safely(request, forwarded=True)
 
-    def _guarded(self, request: Request, forwarded: bool) -> Response:
+    def _route_safely(self, request: Request, forwarded: bool) -> Response:
         try:
             return self._route(request, forwarded)
         except ProtocolError as error:
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -201,8 +201,20 @@
         """
         settings, limits = self.settings, self._limits
         endpoints = (
-            (settings.cluster_listen, self.router.cluster, limits.peers, limits.peers, "cluster"),
-            (settings.listen, self.router.public, limits.connections, limits.threads, "listen"),
+            (
+                settings.cluster_listen,
+                self.router.handle_cluster,
+                limits.peers,
+                limits.peers,
+                "cluster",
+            ),
+            (
+                settings.listen,
+                self.router.handle_public,
+                limits.connections,
+                limits.threads,
+                "listen",
+            ),
         )
         for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
