--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -36,9 +36,9 @@
     """By shard."""
     peer_clients: dict[str, HttpCaller]
     """By the peer's name."""
-    post: Callable[[events.Event], None]
+    post_event: Callable[[events.Event], None]
     """Queues an event for the scheduler's thread."""
-    load: Callable[[], float]
+    queue_load: Callable[[], float]
     """Length of the scheduler's queue, in multiples of what a node should have at most."""
     runtime: Runtime
     shard_map: Callable[[], ShardMapView | None] = lambda: None
@@ -69,15 +69,15 @@
 
         None: the queue is too long for this kind of request, or the reply timed out.
         """
-        if self.load() > MAX_QUEUE_LOAD[type(event)]:
+        if self.queue_load() > MAX_QUEUE_LOAD[type(event)]:
             return None
-        self.post(event)
+        self.post_event(event)
         try:
             return SchedulerReply(*event.reply_to.get(timeout=SCHEDULER_REPLY_TIMEOUT_S))
         except queue.Empty:
             return None
 
-    def ask(self, event: events.ApiRequest) -> Response:
+    def scheduler_response(self, event: events.ApiRequest) -> Response:
         """The scheduler's reply to a request as a response; 503 without one in time."""
         reply = self.ask_scheduler(event)
         return unavailable() if reply is None else reply.response()
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -101,7 +101,7 @@
         replica = self._context.first_replica
         if self._context.is_led_elsewhere(replica):
             return self._forwarder.forward(replica, request, forwarded, wait_for_election=True)
-        return self._context.ask(
+        return self._context.scheduler_response(
             events.GetCountedResources(0, self._context.runtime.queue(), after)
         )
 
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -60,7 +60,7 @@
         replica = self._context.replicas.get(call.target_shard)
         if replica is None or self._context.is_led_elsewhere(replica):
             return unavailable()
-        return self._context.ask(
+        return self._context.scheduler_response(
             events.ShardRequestReceived(
                 call.target_shard, self._context.runtime.queue(), call.message
             )
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -37,9 +37,9 @@
     """By shard."""
     peer_clients: dict[str, HttpCaller]
     """By the peer's name."""
-    post: Callable[[events.Event], None]
+    post_event: Callable[[events.Event], None]
     """Queues an event for the scheduler's thread."""
-    load: Callable[[], float]
+    queue_load: Callable[[], float]
     """Length of the scheduler's queue, in multiples of what a node should have at most."""
     is_worker_reachable: Callable[[str], bool]
     """Whether the worker at an address answers this node."""
@@ -51,9 +51,9 @@
     """This node's status for its peers."""
     shard_map: Callable[[], ShardMapView | None] = lambda: None
     """The shard map that this node goes by; None: there is one shard."""
-    is_crowded: Callable[[], bool] = lambda: False
+    connections_nearly_full: Callable[[], bool] = lambda: False
     """Whether the node's connections are nearly used up."""
-    heartbeat_received: Callable[[], None] = lambda: None
+    on_heartbeat: Callable[[], None] = lambda: None
     """Called for each heartbeat that a worker sends to this node."""
 
 
@@ -63,14 +63,19 @@
     def __init__(self, node: RouterDependencies) -> None:
         """Create the endpoints of a node."""
         context = ApiContext(
-            node.replicas, node.peer_clients, node.post, node.load, node.runtime, node.shard_map
+            node.replicas,
+            node.peer_clients,
+            node.post_event,
+            node.queue_load,
+            node.runtime,
+            node.shard_map,
         )
         freshness = ResponseFreshness(context)
         forwarder = Forwarder(
             context, freshness, lambda request: self._route(request, forwarded=True)
         )
         self._users = UserEndpoints(context, forwarder, freshness)
-        self._workers = WorkerEndpoints(context, node.is_crowded, node.heartbeat_received)
+        self._workers = WorkerEndpoints(context, node.connections_nearly_full, node.on_heartbeat)
         self._peers = PeerEndpoints(context, node.is_worker_reachable, node.own_status)
         self._operators = OperatorEndpoints(context, forwarder, node.store, node.max_machines)
         self._peer_routes: dict[tuple[str, str], Callable[[bytes], Response]] = {
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -28,16 +28,16 @@
     def __init__(
         self,
         context: ApiContext,
-        is_crowded: Callable[[], bool],
-        heartbeat_received: Callable[[], None],
+        connections_nearly_full: Callable[[], bool],
+        on_heartbeat: Callable[[], None],
     ) -> None:
-        """``is_crowded``: whether the node's connections are nearly used up.
+        """``connections_nearly_full``: whether the node's connections are nearly used up.
 
-        ``heartbeat_received`` is called for each heartbeat that a worker sends to this node.
+        ``on_heartbeat`` is called for each heartbeat that a worker sends to this node.
         """
         self._context = context
-        self._is_crowded = is_crowded
-        self._heartbeat_received = heartbeat_received
+        self._connections_nearly_full = connections_nearly_full
+        self._on_heartbeat = on_heartbeat
         self._relay = HeartbeatRelay(context.peer_clients, context.runtime)
 
     def stop(self) -> None:
@@ -49,17 +49,17 @@
 
         Raises ProtocolError for a malformed one, which every node refuses alike.
         """
-        self._heartbeat_received()
+        self._on_heartbeat()
         header = workers.decode_heartbeat_header(body)
         unchanged = self._unchanged_response(header)
         if unchanged is not None:
-            return self._close_when_crowded(Response(200, unchanged))
+            return self._close_when_nearly_full(Response(200, unchanged))
         heartbeat, tasks = workers.decode_heartbeat(body), bytes(header.tasks)
         shard_map = self._context.shard_map()
         if shard_map is None:
             return self._heartbeat_without_shards(heartbeat, tasks, body)
         shard = shard_map.shard_of_machine(heartbeat.machine, heartbeat.type)
-        return self._close_when_crowded(self._heartbeat_to_shard(heartbeat, tasks, shard))
+        return self._close_when_nearly_full(self._heartbeat_to_shard(heartbeat, tasks, shard))
 
     def _unchanged_response(self, header: workers.HeartbeatHeader) -> bytes | None:
         """The response to a heartbeat without changes, if it has come to the right node."""
@@ -78,8 +78,8 @@
                 return response
         return None
 
-    def _close_when_crowded(self, response: Response) -> Response:
-        if self._context.shard_map() is not None and self._is_crowded():
+    def _close_when_nearly_full(self, response: Response) -> Response:
+        if self._context.shard_map() is not None and self._connections_nearly_full():
             # This frees a connection for other workers: the next heartbeat opens another.
             response.headers["Connection"] = "close"
         return response
@@ -100,7 +100,7 @@
         if not self._context.is_led_elsewhere(replica):
             if relay is not None and relay != here:
                 return respond(421, workers.redirect_body(relay))
-            return self._context.ask(
+            return self._context.scheduler_response(
                 events.HeartbeatReceived(0, self._context.runtime.queue(), heartbeat, tasks)
             )
         leader = election.current_leader()
@@ -145,7 +145,7 @@
         if replica is None:
             return unavailable()
         if not self._context.is_led_elsewhere(replica):
-            return self._context.ask(
+            return self._context.scheduler_response(
                 events.HeartbeatReceived(shard, self._context.runtime.queue(), heartbeat, tasks)
             )
         leader, here = replica.election.current_leader(), replica.election.name
@@ -178,7 +178,7 @@
         reply_to = self._context.runtime.queue()
         if (
             self._context.is_led_elsewhere(self._context.first_replica)
-            or self._context.load() > MAX_QUEUE_LOAD[events.HeartbeatReceived]
+            or self._context.queue_load() > MAX_QUEUE_LOAD[events.HeartbeatReceived]
         ):
             return unavailable()
         body = bytes(raw)
@@ -191,7 +191,9 @@
             heartbeat = workers.decode_heartbeat(body)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
-        self._context.post(events.HeartbeatReceived(0, reply_to, heartbeat, bytes(header.tasks)))
+        self._context.post_event(
+            events.HeartbeatReceived(0, reply_to, heartbeat, bytes(header.tasks))
+        )
         return reply_to
 
     def _relayed_reply(self, reply_to: Queue, deadline: float) -> Response:
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -159,8 +159,8 @@
             RouterDependencies(
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
-                post=self._post,
-                load=lambda: self._events.qsize() / limits.max_queued,
+                post_event=self._post,
+                queue_load=lambda: self._events.qsize() / limits.max_queued,
                 is_worker_reachable=self.workers.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
@@ -169,8 +169,10 @@
                 ),
                 own_status=self._own_status,
                 shard_map=self._shard_map,
-                is_crowded=lambda: self._connections() > CROWDED_SHARE * limits.connections,
-                heartbeat_received=self.connectivity.heartbeat_received,
+                connections_nearly_full=lambda: (
+                    self._connections() > CROWDED_SHARE * limits.connections
+                ),
+                on_heartbeat=self.connectivity.heartbeat_received,
             )
         )
 
