--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -19,7 +19,7 @@
 from appleshift.transport.client import HttpAnswer
 from appleshift.transport.http_messages import Response
 
-VALID_FOR = "Valid-For-Ms"
+VALID_FOR_HEADER = "Valid-For-Ms"
 """Header for peers: how much longer the lease of the node that responded is valid."""
 FINAL_STATES = (users.DONE, users.CANCELLED)
 """States of a job that never change again."""
@@ -58,7 +58,7 @@
         valid_for_s = replica.lease.valid_for_s(self._context.runtime.now())
         if valid_for_s <= 0.0 or (response.status == 404 and reported_state is not None):
             return unavailable()
-        headers = {**response.headers, VALID_FOR: str(int(valid_for_s * 1000))}
+        headers = {**response.headers, VALID_FOR_HEADER: str(int(valid_for_s * 1000))}
         return Response(response.status, response.body, headers)
 
     def forwarded_response(self, answer: HttpAnswer, asked_at: float) -> Response:
