--- a/appleshift/heartbeat_ingest/fast_path.py
+++ b/appleshift/heartbeat_ingest/fast_path.py
@@ -55,7 +55,7 @@
         """Start without entries: the scheduler processes every machine's first heartbeat."""
         self.entries: dict[str, FastPathEntry] = {}
 
-    def remember(
+    def set_expected(
         self, machine: str, expected: ExpectedHeartbeat, at: float, seq: int
     ) -> FastPathEntry:
         """Record that heartbeats like this one need no more than this response.
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -46,7 +46,7 @@
         newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
         if tasks is not None and newest and not commands and machine.needs_no_commands():
             unchanged = (machine.agent_epoch, token, tasks, encode(response))
-            machine.fast_path_entry = scheduler.fast_path.remember(
+            machine.fast_path_entry = scheduler.fast_path.set_expected(
                 machine.name, unchanged, scheduler.now, heartbeat.seq
             )
 
