--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -12,8 +12,8 @@
 from __future__ import annotations
 
 from appleshift.api.context import ApiContext
+from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import SchedulerReply, respond, unavailable
-from appleshift.api.views import ShardReplicaView
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT
 from appleshift.protocol import users
 from appleshift.transport.client import HttpAnswer
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -38,14 +38,14 @@
 """Workers wait 4 s for a response."""
 
 
-class RelayAnswer(msgspec.Struct, frozen=True, gc=False):
+class LeaderResponse(msgspec.Struct, frozen=True, gc=False):
     """The leader's response to one heartbeat, its body as the leader encoded it."""
 
     status: int
     body: bytes
 
 
-NO_ANSWER = RelayAnswer(503, encode({"error": "the leader does not answer"}))
+NO_RESPONSE = LeaderResponse(503, encode({"error": "the leader does not answer"}))
 
 
 class _PendingHeartbeat:
@@ -68,7 +68,7 @@
         self._lock = threading.Lock()
         self._waiting: deque[_PendingHeartbeat] = deque()
 
-    def forward(self, leader: str, body: bytes) -> RelayAnswer:
+    def forward(self, leader: str, body: bytes) -> LeaderResponse:
         """The leader's answer to a heartbeat; 503 without one in time."""
         entry = _PendingHeartbeat(leader, body, self._runtime.queue())
         with self._lock:
@@ -77,11 +77,11 @@
         if is_first:
             self._pool.submit(self._send_batch)
         try:
-            answer: RelayAnswer = entry.reply_to.get(
+            answer: LeaderResponse = entry.reply_to.get(
                 timeout=RESPONSE_TIMEOUT_S + 2 * BATCH_WINDOW_S
             )
         except queue.Empty:
-            return NO_ANSWER
+            return NO_RESPONSE
         return answer
 
     def _next_batch(self) -> list[_PendingHeartbeat]:
@@ -108,11 +108,11 @@
             return
         answers = self._ask_leader(batch)
         if len(answers) != len(batch):
-            answers = [NO_ANSWER] * len(batch)
+            answers = [NO_RESPONSE] * len(batch)
         for entry, answer in zip(batch, answers, strict=True):
             entry.reply_to.put(answer)
 
-    def _ask_leader(self, batch: list[_PendingHeartbeat]) -> list[RelayAnswer]:
+    def _ask_leader(self, batch: list[_PendingHeartbeat]) -> list[LeaderResponse]:
         """The leader's answers in the order of the batch; empty if the call failed."""
         leader = batch[0].leader
         try:
@@ -124,7 +124,7 @@
             if status != 200:
                 return []
             responses = peers.decode_heartbeat_responses(raw).responses
-            return [RelayAnswer(each.status, bytes(each.body)) for each in responses]
+            return [LeaderResponse(each.status, bytes(each.body)) for each in responses]
         except (ClientError, ProtocolError, KeyError) as error:
             log.debug(
                 "relay call failed leader=%s heartbeats=%d error=%s", leader, len(batch), error
