--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -133,7 +133,7 @@
 
     def _check_hand_over(self) -> None:
         """Hand over what this node leads if workers reach a peer and not this node."""
-        lost = self.worker_contacts.is_lost()
+        lost = self.worker_contacts.workers_unreachable()
         if lost != self._workers_lost:
             self._workers_lost = lost
             log.info("worker connectivity %s", "lost" if lost else "restored")
@@ -142,7 +142,7 @@
         for peer in self._peer_reports.reaching_workers(
             self._runtime.now(), self.worker_contacts.unanswered_since
         ):
-            if self._peer_confirms(peer) and self.worker_contacts.is_lost():
+            if self._peer_confirms(peer) and self.worker_contacts.workers_unreachable():
                 log.info("handing over leadership reason=workers_unreachable peer=%s", peer)
                 self._hand_over()
                 self._stop.wait(HAND_OVER_PAUSE_S)
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -301,7 +301,7 @@
             leadership.may_answer(now),
             election.relayed_fraction if leadership.is_leader else 0.0,
             # A quarter of the machines were once redirected to a relay that none could reach.
-            election.can_relay() and not self.connectivity.worker_contacts.is_lost(),
+            election.can_relay() and not self.connectivity.worker_contacts.workers_unreachable(),
             process_id=self._context.process_id,
             connectivity=self.connectivity.own_connectivity(now),
             worker_sample=[*self.connectivity.worker_contacts.sample]
