--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -12,14 +12,14 @@
 from __future__ import annotations
 
 from appleshift.api.context import ApiContext
+from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import SchedulerReply, respond, unavailable
-from appleshift.api.views import ShardReplicaView
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.protocol import users
 from appleshift.transport.client import HttpResponse
 from appleshift.transport.http_messages import Response
 
-VALID_FOR = "Valid-For-Ms"
+VALID_FOR_HEADER = "Valid-For-Ms"
 """Header for peers: how much longer the lease of the node that responded is valid."""
 FINAL_STATES = (users.DONE, users.CANCELLED)
 """States of a job that never change again."""
@@ -58,7 +58,7 @@
         valid_for_s = replica.lease.valid_for_s(self._context.runtime.now())
         if valid_for_s <= 0.0 or (response.status == 404 and reported_state is not None):
             return unavailable()
-        headers = {**response.headers, VALID_FOR: str(int(valid_for_s * 1000))}
+        headers = {**response.headers, VALID_FOR_HEADER: str(int(valid_for_s * 1000))}
         return Response(response.status, response.body, headers)
 
     def forwarded_response(self, answer: HttpResponse, asked_at: float) -> Response:
--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -92,7 +92,7 @@
         connectivity = status.connectivity
         if connectivity is None:
             # A peer of an older version, which does not send it.
-            self._peer_reports.forget(peer)
+            self._peer_reports.remove(peer)
         else:
             self._peer_reports.update(peer, _report(connectivity, now))
         if status.entitled and not self._is_leader():
@@ -101,11 +101,11 @@
             elif connectivity is not None:
                 # A leader that no worker reaches still names those that once did: this one
                 # has no workers.
-                self.worker_contacts.forget()
+                self.worker_contacts.clear()
 
     def peer_restarted(self, peer: str) -> None:
         """Drop what an earlier process of a peer reported."""
-        self._peer_reports.forget(peer)
+        self._peer_reports.remove(peer)
 
     # -- probes ------------------------------------------------------------------------
 
@@ -115,7 +115,7 @@
         while not self._stop.is_set():
             now = self._runtime.now()
             # Without misses one thread is enough; a leader receives heartbeats all the time.
-            if is_first or self._is_leader() or self.worker_contacts.is_suspect():
+            if is_first or self._is_leader() or self.worker_contacts.has_unanswered_probes():
                 address = self.worker_contacts.next_to_probe(now)
                 if address is not None:
                     self._probe(address)
@@ -126,14 +126,14 @@
     def _probe(self, address: str) -> bool:
         sent = self._runtime.now()
         answered = self._probe_worker(address)
-        self.worker_contacts.probed(address, sent, self._runtime.now(), answered)
+        self.worker_contacts.record_probe(address, sent, self._runtime.now(), answered)
         return answered
 
     # -- what follows for leadership -----------------------------------------------------
 
     def _check_hand_over(self) -> None:
         """Hand over what this node leads if workers reach a peer and not this node."""
-        lost = self.worker_contacts.is_lost()
+        lost = self.worker_contacts.workers_unreachable()
         if lost != self._workers_lost:
             self._workers_lost = lost
             log.info("worker connectivity %s", "lost" if lost else "restored")
@@ -142,7 +142,7 @@
         for peer in self._peer_reports.reaching_workers(
             self._runtime.now(), self.worker_contacts.unanswered_since
         ):
-            if self._peer_confirms(peer) and self.worker_contacts.is_lost():
+            if self._peer_confirms(peer) and self.worker_contacts.workers_unreachable():
                 log.info("handing over leadership reason=workers_unreachable peer=%s", peer)
                 self._hand_over()
                 self._stop.wait(HAND_OVER_PAUSE_S)
@@ -178,7 +178,7 @@
         address = contacts.next_in_sample()
         if address is None or contacts.had_contact_within(now, ELECTION_CONTACT_S):
             return 0.0
-        if not contacts.is_lost() and self._probe(address):
+        if not contacts.workers_unreachable() and self._probe(address):
             return 0.0
         now = self._runtime.now()
         others = self._peer_reports.reaching_workers(now, contacts.unanswered_since)
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -163,8 +163,8 @@
             RouterDependencies(
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
-                post=self._post,
-                load=lambda: self._events.qsize() / limits.max_queued_events,
+                post_event=self._post,
+                queue_load=lambda: self._events.qsize() / limits.max_queued_events,
                 is_worker_reachable=self.worker_calls.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
@@ -173,8 +173,10 @@
                 ),
                 own_status=self._own_status,
                 shard_map=self._shard_map,
-                is_crowded=lambda: self._connection_count() > CROWDED_SHARE * limits.connections,
-                heartbeat_received=self.connectivity.heartbeat_received,
+                connections_nearly_full=lambda: (
+                    self._connection_count() > CROWDED_SHARE * limits.connections
+                ),
+                on_heartbeat=self.connectivity.heartbeat_received,
             )
         )
 
@@ -205,8 +207,20 @@
         """
         settings, limits = self.settings, self._limits
         endpoints = (
-            (settings.cluster_listen, self.router.cluster, limits.peers, limits.peers, "cluster"),
-            (settings.listen, self.router.public, limits.connections, limits.threads, "listen"),
+            (
+                settings.cluster_listen,
+                self.router.handle_cluster,
+                limits.peers,
+                limits.peers,
+                "cluster",
+            ),
+            (
+                settings.listen,
+                self.router.handle_public,
+                limits.connections,
+                limits.threads,
+                "listen",
+            ),
         )
         for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
@@ -296,7 +310,7 @@
             leadership.may_answer(now),
             election.relayed_fraction if leadership.is_leader else 0.0,
             # A quarter of the machines were once redirected to a relay that none could reach.
-            election.can_relay() and not self.connectivity.worker_contacts.is_lost(),
+            election.can_relay() and not self.connectivity.worker_contacts.workers_unreachable(),
             process_id=self._context.process_id,
             connectivity=self.connectivity.own_connectivity(now),
             worker_sample=[*self.connectivity.worker_contacts.sample]
@@ -383,7 +397,7 @@
             return
         self._next_sample_update = now + SAMPLE_INTERVAL_S
         if not scheduler.cluster.machines:
-            self.connectivity.worker_contacts.forget()
+            self.connectivity.worker_contacts.clear()
         by_zone: dict[int, list[str]] = {}
         for machine in scheduler.cluster.machines.values():
             addresses = by_zone.setdefault(machine.zone, [])
