--- a/appleshift/protocol/__init__.py
+++ b/appleshift/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Every message on the wire, as typed structs. The wire names live only here."""
+"""Typed structs of all messages on the wire; wire names are defined only in this package."""
--- a/appleshift/protocol/cloud.py
+++ b/appleshift/protocol/cloud.py
@@ -1,4 +1,7 @@
-"""Messages between controller nodes and the cloud's API. ``rename`` maps to wire names."""
+"""Messages between controller nodes and the cloud's API.
+
+``rename`` maps attributes to wire names.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,16 @@
 from appleshift.protocol.wire import ProtocolError, decode_as
 
 FAILED = "failed"
-"""State of a machine that stopped on its own; it stays listed until it is deleted."""
+"""State of a machine that stopped without a request; it is listed until it is deleted."""
 
 MAX_MACHINES_PER_RENTAL = 50
-"""Most machines that one request may rent."""
+"""Largest number of machines that one request may rent."""
 MAX_MACHINES_PER_DELETION = 100
-"""Most machines that one request may delete."""
+"""Largest number of machines that one request may delete."""
 MACHINES_PER_PAGE = 500
-"""Most machines on one page of the list."""
+"""Largest number of machines on one page of the machine list."""
 
-Positive = Annotated[float, msgspec.Meta(ge=0.0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0.0)]
 
 
 class MachineType(
@@ -35,27 +38,28 @@
         "zones": "yards",
     },
 ):
-    """A type of machine that can be rented, with its prices at present.
+    """A machine type that can be rented, with its current prices.
 
-    Prices are per hour, ``memory_gb`` and ``cache_gb`` in gigabytes, ``boot_s`` in seconds
-    from the request until it usually works; ``fetch_gb_per_s`` is the rate
-    at which it fetches images.
+    ``price`` (on-demand) and ``spot_price`` are per hour, ``memory_gb`` and ``cache_gb`` are
+    in gigabytes. ``boot_s`` is the usual time from the rental request until the machine is
+    ready, in seconds. ``fetch_gb_per_s`` is the rate at which it fetches images, in gigabytes
+    per second.
     """
 
     name: str
-    cpus: Positive
-    memory_gb: Positive
-    price: Positive
-    spot_price: Positive
-    boot_s: Positive
+    cpus: NonNegative
+    memory_gb: NonNegative
+    price: NonNegative
+    spot_price: NonNegative
+    boot_s: NonNegative
     zones: list[str]
-    gpus: Positive = 0.0
-    cache_gb: Positive = 0.0
-    fetch_gb_per_s: Positive = 0.0
+    gpus: NonNegative = 0.0
+    cache_gb: NonNegative = 0.0
+    fetch_gb_per_s: NonNegative = 0.0
 
 
 class MachineTypesResponse(msgspec.Struct, frozen=True, rename={"types": "rig_kinds"}):
-    """Answer to a request for all types."""
+    """Response to a request for all machine types."""
 
     types: list[MachineType]
 
@@ -71,7 +75,7 @@
         "state": "status",
     },
 ):
-    """A machine on the cloud's list."""
+    """A rented machine in the cloud's machine list."""
 
     name: str
     type: str
@@ -79,63 +83,71 @@
     spot: bool
     state: str
     age_s: float
-    """Seconds since the request to rent it, as of the time that the list describes."""
+    """Seconds from the rental request to the time whose state the list shows."""
     addr: str = ""
-    """``host:port`` of its worker; empty while it has none."""
+    """``host:port`` of the machine's worker; empty until the machine has an address."""
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """A page of the list. ``more``: others follow; ``whole``: every row could be decoded."""
+    """A decoded page of the machine list.
+
+    ``more``: further pages follow. ``whole``: all rows of the page could be decoded.
+    """
 
     machines: list[ListedMachine]
     more: bool
     whole: bool
 
 
-class _RawList(msgspec.Struct, frozen=True, rename={"rows": "rigs", "more": "truncated"}):
+class _RawMachineList(msgspec.Struct, frozen=True, rename={"rows": "rigs", "more": "truncated"}):
+    """A page of the machine list whose rows are not decoded yet."""
+
     rows: list[msgspec.Raw]
     more: bool = False
 
 
 class RentalResponse(msgspec.Struct, frozen=True, rename={"machines": "rigs"}):
-    """Answer to a request to rent: names of the new machines."""
+    """Response to a rental request: the names of the new machines."""
 
     machines: list[str]
 
 
-_types = msgspec.msgpack.Decoder(MachineTypesResponse)
-_list = msgspec.msgpack.Decoder(_RawList)
-_row = msgspec.msgpack.Decoder(ListedMachine)
-_rented = msgspec.msgpack.Decoder(RentalResponse)
+_types_decoder = msgspec.msgpack.Decoder(MachineTypesResponse)
+_list_decoder = msgspec.msgpack.Decoder(_RawMachineList)
+_row_decoder = msgspec.msgpack.Decoder(ListedMachine)
+_rental_decoder = msgspec.msgpack.Decoder(RentalResponse)
 
 
 def decode_machine_types(body: bytes) -> list[MachineType]:
-    """Decode the types that can be rented; ProtocolError if malformed."""
-    return decode_as(_types, body).types
+    """Decode the machine types that can be rented; ProtocolError if malformed."""
+    return decode_as(_types_decoder, body).types
 
 
 def decode_machine_list(body: bytes) -> MachineList:
-    """Decode a page of the list; ProtocolError if it is malformed as a whole.
+    """Decode a page of the machine list; ProtocolError if the page itself is malformed.
 
-    Row by row: one that is malformed must not hide hundreds of others.
+    Malformed rows are skipped, so that one of them does not hide hundreds of valid rows.
     """
-    page = decode_as(_list, body)
+    page = decode_as(_list_decoder, body)
     machines = []
     for row in page.rows:
         try:
-            machines.append(decode_as(_row, bytes(row)))
+            machines.append(decode_as(_row_decoder, bytes(row)))
         except ProtocolError:
             continue
     return MachineList(machines, page.more, len(machines) == len(page.rows))
 
 
 def decode_rented_machines(body: bytes) -> list[str]:
-    """Decode the names of machines that were rented; ProtocolError if malformed."""
-    return decode_as(_rented, body).machines
+    """Decode the names of the machines that were rented; ProtocolError if malformed."""
+    return decode_as(_rental_decoder, body).machines
 
 
 def rent_body(request: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """Body of a request to rent; ``request`` identifies it, so that a repetition rents once."""
+    """Return the body of a rental request.
+
+    ``request`` is an id that makes the rental idempotent: a repeated request rents nothing more.
+    """
     return {
         "hire": request,
         "rig_kind": machine_type,
@@ -146,11 +158,11 @@
 
 
 def delete_body(machines: list[str]) -> dict[str, Any]:
-    """Body of a request to delete machines."""
+    """Return the body of a request to delete machines."""
     return {"rigs": machines}
 
 
 def list_path(after: str) -> str:
-    """Path of the page that follows a machine's name; of the first one after ``""``."""
+    """Return the path of the list page that starts after a machine name; ``""``: the first page."""
     query = f"after={after}&" if after else ""
     return f"/machines?{query}limit={MACHINES_PER_PAGE}"
--- a/appleshift/protocol/counted_resources.py
+++ b/appleshift/protocol/counted_resources.py
@@ -1,7 +1,8 @@
-"""Counted resources as operators define them and as users ask for them.
+"""Definitions of counted resources (such as licences), and the units that jobs request.
 
-Operators define them in their settings (``protocol/operator.py``). Definitions are written to
-the log, so that all leaders count alike whichever settings they have.
+Operators define counted resources in the operator settings (``protocol/operator.py``). The
+definitions are written to the write-ahead log, so that every leader counts by the same
+definitions, whatever its own settings are.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from appleshift.protocol.wire import ProtocolError
 
 MAX_RESOURCES = 64
-"""Most resources that may be defined."""
+"""Largest number of counted resources that may be defined."""
 MAX_COUNT = 1_000_000
-"""Largest total of a resource."""
+"""Largest total of a counted resource, in units."""
 MAX_RESOURCES_PER_SUBMISSION = 16
-"""Most resources that one submission may name."""
+"""Largest number of counted resources that one submission may request."""
 _RECORD_OVERHEAD_BYTES = 400
-"""Left free in the stored value that holds a definition, for the record around it."""
-_NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,39}", re.ASCII)
+"""Part of the stored value of a definition that is reserved for the record around it."""
+_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,39}", re.ASCII)
 
 BLOCK, TRUST = "BLOCK", "TRUST"
 """Values of ``LicenseServer.on_silence``."""
@@ -34,7 +35,7 @@
 
 
 class TeamAllotment(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A team's quota of one resource: limit and guarantee; 0 means none, as for CPUs."""
+    """A team's quota of one counted resource, in units; 0 means no limit or no guarantee."""
 
     name: str
     most: Count = 0
@@ -42,42 +43,42 @@
 
 
 class LicenseServer(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The external server that grants licences, to this cluster and to others."""
+    """An external server that grants licences to this cluster and to other clusters."""
 
     address: str
     ask_s: _Seconds = 5.0
-    """Seconds between two heartbeats to it; changes are sent sooner."""
+    """Seconds between two heartbeats to the server; changes are sent sooner."""
     silent_s: _Seconds = 30.0
     """Seconds without an answer after which ``on_silence`` applies."""
     on_silence: Literal["BLOCK", "TRUST"] = "BLOCK"
-    """BLOCK grants nothing more; TRUST grants on within the last count that was received."""
+    """BLOCK: grant no more licences. TRUST: keep granting within the last count received."""
 
 
 class CountedResourceDefinition(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One counted resource as its operators define it."""
+    """The definition of one counted resource."""
 
     name: str
     total: Count
     teams: tuple[TeamAllotment, ...] = ()
     server: LicenseServer | None = None
     when_lowered: Literal["KEEP", "STOP"] = KEEP  # type: ignore[assignment]
-    """Whether tasks beyond a lowered total go on or are stopped."""
+    """Whether tasks beyond a lowered total keep running (KEEP) or are stopped (STOP)."""
 
 
 class CountedResourceRules(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Rules for all counted resources. Durations are in seconds."""
+    """Rules that apply to all counted resources."""
 
     off: bool = False
-    """Stop counting, whatever the log has recorded."""
+    """Stop counting, whatever definitions the write-ahead log holds."""
     starve_s: _Seconds = 60.0
-    """Seconds for which a job waits before released units are kept back for it."""
+    """Seconds that a job waits before units that are released are reserved for it."""
     history_pages: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 1000
-    """Pages of the audit log that are kept in the key-value store."""
+    """Number of pages of the audit log that are kept in the key-value store."""
 
 
 def check_definition(definition: CountedResourceDefinition) -> None:
-    """Check one definition by itself; ValueError with the reason if it cannot be used."""
-    if not _NAME.fullmatch(definition.name):
+    """Validate one definition on its own; ValueError with the reason if it is invalid."""
+    if not _NAME_PATTERN.fullmatch(definition.name):
         raise ValueError("a name is 1 to 40 of a-z, 0-9, '.', '_' and '-'")
     if definition.server is not None:
         split_address(definition.server.address)
@@ -97,7 +98,11 @@
 def check_definitions(
     definitions: tuple[CountedResourceDefinition, ...], teams: list[TeamLimits], value_bytes: int
 ) -> tuple[str, str] | None:
-    """Check all definitions together; the first (name at fault, reason), None without any."""
+    """Validate all definitions together; ``value_bytes`` is the largest value of the store.
+
+    Returns (name, reason) of the first error, where the name is that of a counted resource or
+    a team; None if there is no error.
+    """
     team_names = {team.name for team in teams}
     if len(definitions) > MAX_RESOURCES:
         return definitions[MAX_RESOURCES].name, f"more than {MAX_RESOURCES} resources"
@@ -116,13 +121,13 @@
 
 
 def definition_to_record(definition: CountedResourceDefinition) -> dict[str, Any]:
-    """Convert a definition for the log."""
+    """Convert a definition to the form that is written to the write-ahead log."""
     record: dict[str, Any] = msgspec.to_builtins(definition)
     return record
 
 
 def definition_from_record(record: Any) -> CountedResourceDefinition:
-    """Convert a definition from the log; msgspec.ValidationError if it is none."""
+    """Convert a definition from the write-ahead log; msgspec.ValidationError if malformed."""
     return msgspec.convert(record, CountedResourceDefinition)
 
 
@@ -137,7 +142,10 @@
 
 
 def parse_requested_counts(field: Any) -> dict[str, int]:
-    """Check the ``seats`` field of a submission: name -> count; ProtocolError 400 if malformed."""
+    """Parse the ``seats`` field of a submission into counted resource -> units per task.
+
+    ProtocolError 400 if it is malformed; an absent field gives an empty dict.
+    """
     if field is None:
         return {}
     try:
--- a/appleshift/protocol/license_server.py
+++ b/appleshift/protocol/license_server.py
@@ -1,4 +1,4 @@
-"""Messages to a licence server, as ``docs/seats-protocol.md`` specifies them."""
+"""Messages between a leader and a licence server, as in ``docs/seats-protocol.md``."""
 
 from __future__ import annotations
 
@@ -10,59 +10,61 @@
 from appleshift.protocol.wire import ProtocolError, decode_as, encode
 
 ACCOUNT = "appleshift"
-"""Name under which the cluster reserves licences."""
+"""Account under which the cluster reserves licences."""
 MAX_RETURNED_HOLDERS = 400
-"""Most holders that one heartbeat returns licences of; the rest follow with the next one."""
+"""Largest number of holders in ``ReservationRequest.returned``; the next request has the rest."""
 
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]
 
 
 class ReservationRequest(msgspec.Struct, frozen=True):
-    """What an account reserves, and the holders whose licences it returns."""
+    """A heartbeat that reserves licences and returns those of holders that have ended."""
 
     account: str
     serial: int
-    """Raised with every request; the server refuses lower ones as out of date."""
+    """Number of the request, increasing; the server refuses lower numbers as outdated."""
     reserve: int
+    """Number of licences to reserve for the account."""
     returned: list[str]
+    """Holders whose licences are returned."""
 
 
 class LicenseHolder(msgspec.Struct, frozen=True):
-    """Somebody who has checked out licences of a reservation."""
+    """A holder that has checked out licences from the account's reservation."""
 
     holder: str
     count: _Count
 
 
 class ReservationReply(msgspec.Struct, frozen=True):
-    """The state of a resource and of an account at the server. Counts are licences."""
+    """The server's state of a resource and of this account; counts are numbers of licences."""
 
     serial: int
     total: _Count
     others: _Count
-    """Licences in use by all other accounts."""
+    """Licences that other accounts use."""
     reserved: _Count
-    """Licences of this account until ``ttl_s`` seconds after the heartbeat."""
+    """Licences reserved for this account until ``ttl_s`` seconds after the heartbeat."""
     ttl_s: Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
     holders: list[LicenseHolder] = []
-    """Who has checked out licences of the reservation."""
+    """The holders that have checked out licences from the reservation."""
 
 
 _reply_decoder = msgspec.msgpack.Decoder(ReservationReply)
 
 
 def reservation_path(resource: str) -> str:
-    """Path of an account's heartbeat for a resource."""
+    """Return the path of an account's heartbeat for a counted resource."""
     return f"/v1/seats/{quote(resource, safe='')}/heartbeat"
 
 
-def encode_reservation_request(heartbeat: ReservationRequest) -> bytes:
-    """Encode the body of a heartbeat."""
-    return encode(heartbeat)
+def encode_reservation_request(request: ReservationRequest) -> bytes:
+    """Encode the body of an account's heartbeat."""
+    return encode(request)
 
 
 def decode_reservation_reply(body: bytes) -> ReservationReply:
-    """Decode the answer; ProtocolError if it is malformed or contradicts itself."""
+    """Decode the response to a heartbeat; ProtocolError if malformed or inconsistent."""
     reply = decode_as(_reply_decoder, body)
     if not reply.ttl_s < float("inf"):
         raise ProtocolError(400, "ttl_s is not a finite number")
--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -1,8 +1,8 @@
-"""Operators' own settings, in protobuf text format.
+"""The operator settings: files in protobuf text format that operators write.
 
-The message is described here rather than in a generated module, so that the defaults, the
-bounds and the field names stand in one place. protobuf is only imported when a file is given:
-that takes long on a small fraction of a core.
+The protobuf message is defined here rather than in a generated module, so that defaults, bounds
+and field names are in one place. protobuf is imported only if there is a file to read, since
+the import is slow on a small fraction of a core.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
         CountedResourceRules,
     )
 
-_Place = tuple[Path, int]
-"""A file and a line in it, from 1."""
+_Location = tuple[Path, int]
+"""A file and the number of a line in it, starting at 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """The operators' settings. Names that end in ``_s`` are seconds.
+    """The operator settings; fields whose names end in ``_s`` are in seconds.
 
-    ``deploy/operator.textproto`` describes each field; names are those of the files.
+    The fields have the names that the files use; ``deploy/operator.textproto`` describes them.
     """
 
-    # The fleet plan.
+    # Capacity plan.
     spare_groups: int = 1
     max_groups: int = 8
     floor_share: float = 0.0
@@ -60,9 +60,9 @@
     silent_s: float = 3.0
     sick_jobs: int = 2
     spread_reports: bool = True
-    # Number of shards; 0 leaves the shard map as it is.
+    # Number of shards; 0 keeps the current shard map.
     shares: int = 0
-    # Order among jobs.
+    # Priority order of jobs.
     preempt: bool = True
     # Counted resources; see deploy/seats.textproto.
     seats: tuple[CountedResourceDefinition, ...] = ()
@@ -94,37 +94,49 @@
     "sick_jobs": (1, 100),
     "shares": (0, 64),
 }
-"""Least and largest value of each numeric setting."""
-
-_NESTED = {"seats": "SeatDefinition", "seat_rules": "SeatRules"}
-"""Settings that are messages themselves, with their types."""
-_TEAM, _SERVER, _DEFINITION, _RULES = "TeamSeats", "LicenceServer", "SeatDefinition", "SeatRules"
-_SEAT_MESSAGES: dict[str, dict[str, str]] = {
-    _TEAM: {"name": "str", "most": "int", "guarantee": "int"},
-    _SERVER: {"address": "str", "ask_s": "float", "silent_s": "float", "on_silence": "Silence"},
-    _DEFINITION: {
+"""Smallest and largest value of each numeric setting."""
+
+_MESSAGE_FIELDS = {"seats": "SeatDefinition", "seat_rules": "SeatRules"}
+"""Message types of the settings that are protobuf messages themselves."""
+_TEAM_MESSAGE, _SERVER_MESSAGE, _DEFINITION_MESSAGE, _RULES_MESSAGE = (
+    "TeamSeats",
+    "LicenceServer",
+    "SeatDefinition",
+    "SeatRules",
+)
+_COUNTED_RESOURCE_MESSAGES: dict[str, dict[str, str]] = {
+    _TEAM_MESSAGE: {"name": "str", "most": "int", "guarantee": "int"},
+    _SERVER_MESSAGE: {
+        "address": "str",
+        "ask_s": "float",
+        "silent_s": "float",
+        "on_silence": "Silence",
+    },
+    _DEFINITION_MESSAGE: {
         "name": "str",
         "total": "int",
-        "team": f"*{_TEAM}",
-        "server": _SERVER,
+        "team": f"*{_TEAM_MESSAGE}",
+        "server": _SERVER_MESSAGE,
         "when_lowered": "Lowered",
     },
-    _RULES: {"off": "bool", "starve_s": "float", "history_pages": "int"},
+    _RULES_MESSAGE: {"off": "bool", "starve_s": "float", "history_pages": "int"},
 }
-"""Types of the messages' fields by name; ``*`` marks repeated ones."""
-_SEAT_ENUMS = {"Silence": ["BLOCK", "TRUST"], "Lowered": ["KEEP", "STOP"]}
+"""Message type -> field -> type of the field; ``*`` marks a repeated field."""
+_COUNTED_RESOURCE_ENUMS = {"Silence": ["BLOCK", "TRUST"], "Lowered": ["KEEP", "STOP"]}
 
 
 def _add_counted_resources(file: Any, scalar_types: dict[str, Any]) -> None:
-    """Add the messages of counted resources, with the fields that the structs of
-    ``protocol/counted_resources.py`` have."""
+    """Add the messages of counted resources to a protobuf file descriptor.
+
+    Their fields are those of the structs in ``protocol/counted_resources.py``.
+    """
     from google.protobuf.descriptor_pb2 import FieldDescriptorProto as Field
 
-    for name, values in _SEAT_ENUMS.items():
+    for name, values in _COUNTED_RESOURCE_ENUMS.items():
         enum = file.enum_type.add(name=name)
         for number, value in enumerate(values):
             enum.value.add(name=value, number=number)
-    for name, fields_of_message in _SEAT_MESSAGES.items():
+    for name, fields_of_message in _COUNTED_RESOURCE_MESSAGES.items():
         message = file.message_type.add(name=name)
         for number, (field_name, type_name) in enumerate(fields_of_message.items(), start=1):
             field = message.field.add(name=field_name, number=number)
@@ -133,12 +145,14 @@
             if type_name in scalar_types:
                 field.type = scalar_types[type_name]
             else:
-                field.type = Field.TYPE_ENUM if type_name in _SEAT_ENUMS else Field.TYPE_MESSAGE
+                field.type = (
+                    Field.TYPE_ENUM if type_name in _COUNTED_RESOURCE_ENUMS else Field.TYPE_MESSAGE
+                )
                 field.type_name = f".appleshift.{type_name}"
 
 
 def _message_class() -> Any:
-    """Build the protobuf message class from the fields above."""
+    """Build the protobuf message class of ``OperatorSettings``."""
     from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
     scalar_types = {
@@ -153,18 +167,18 @@
     _add_counted_resources(file, scalar_types)
     message = file.message_type.add(name="OperatorSettings")
     for number, field in enumerate(fields(OperatorSettings), start=1):
-        described = message.field.add(
+        message_field = message.field.add(
             name=field.name,
             number=number,
             label=descriptor_pb2.FieldDescriptorProto.LABEL_OPTIONAL,
         )
-        if field.name in _NESTED:
-            described.type = described.TYPE_MESSAGE
-            described.type_name = f".appleshift.{_NESTED[field.name]}"
+        if field.name in _MESSAGE_FIELDS:
+            message_field.type = message_field.TYPE_MESSAGE
+            message_field.type_name = f".appleshift.{_MESSAGE_FIELDS[field.name]}"
             if field.name == "seats":
-                described.label = described.LABEL_REPEATED
+                message_field.label = message_field.LABEL_REPEATED
         else:
-            described.type = scalar_types[str(field.type)]
+            message_field.type = scalar_types[str(field.type)]
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return message_factory.GetMessageClass(
@@ -173,7 +187,7 @@
 
 
 class _FieldError(ValueError):
-    """A setting has a value that cannot be used."""
+    """A setting has an invalid value."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -182,36 +196,38 @@
 
 
 class _Locations:
-    """Where fields and quoted texts stand in the operators' files; later ones replace earlier."""
+    """The last location of each field and of each quoted string in the operators' files."""
 
     def __init__(self, last_file: Path) -> None:
-        self._places: dict[str, _Place] = {}
-        self._default: _Place = (last_file, 1)
+        self._locations: dict[str, _Location] = {}
+        self._default_location: _Location = (last_file, 1)
 
     def add(self, path: Path, text: str) -> None:
-        """Take in the lines of a file."""
+        """Record the locations of all fields and quoted strings of a file."""
         for number, line in enumerate(text.splitlines(), start=1):
-            self._places[line.split(":", 1)[0].strip()] = (path, number)
+            self._locations[line.split(":", 1)[0].strip()] = (path, number)
             for quoted in line.split('"')[1::2]:
-                self._places[f'"{quoted}"'] = (path, number)
+                self._locations[f'"{quoted}"'] = (path, number)
 
     def error(self, field: str, reason: str) -> SettingsError:
-        """Refuse the value of a field."""
-        return _error_at(self._places.get(field, self._default), field, reason)
+        """Return the error for an invalid value of a field, with the field's location."""
+        return _error_at(self._locations.get(field, self._default_location), field, reason)
 
     def error_at_text(self, text: str, reason: str) -> SettingsError:
-        """Refuse a text, quoted in the files or else the name of a field."""
-        place = self._places.get(f'"{text}"', self._places.get(text, self._default))
-        return _error_at(place, text, reason)
+        """Return the error for a quoted string or, if ``text`` is not quoted anywhere, a field."""
+        location = self._locations.get(
+            f'"{text}"', self._locations.get(text, self._default_location)
+        )
+        return _error_at(location, text, reason)
 
 
-def _error_at(place: _Place, field: str, reason: str) -> SettingsError:
-    path, line = place
+def _error_at(location: _Location, field: str, reason: str) -> SettingsError:
+    path, line = location
     return SettingsError(f"{path}:{line}: {field}: {reason}", path, line, field)
 
 
 def _check(settings: OperatorSettings) -> None:
-    """_FieldError for the first value that cannot be used."""
+    """Raise _FieldError for the first setting that has an invalid value."""
     for name, (low, high) in _BOUNDS.items():
         value = getattr(settings, name)
         if not math.isfinite(value) or not low <= value <= high:
@@ -227,10 +243,10 @@
 def load_operator_settings(
     paths: Path | Sequence[Path] | None, node_settings: Settings | None = None
 ) -> OperatorSettings:
-    """Read the operators' files, one after the other; without one, the defaults hold.
+    """Read the operator settings; later files override earlier ones, no file gives the defaults.
 
-    With the node's settings, what refers to them is checked, too. Raises
-    SettingsError with file, line and reason.
+    If ``node_settings`` is given, references to teams and the size of stored values are
+    checked against it. Raises SettingsError with file, line and reason.
     """
     files = [paths] if isinstance(paths, Path) else list(paths or ())
     if not files:
@@ -250,7 +266,7 @@
 
 
 def _read_files(files: Sequence[Path], locations: _Locations) -> Any:
-    """Parse the files into one message; SettingsError for one that cannot be parsed."""
+    """Parse all files into one message; SettingsError for a file that cannot be parsed."""
     from google.protobuf import text_format
 
     message_class = _message_class()
@@ -261,8 +277,8 @@
         except (OSError, UnicodeDecodeError) as error:
             raise SettingsError(f"{path}: {error}", path) from error
         try:
-            # Each file by itself: a field that is given twice in one file is a mistake, a
-            # later file that overrides it is not.
+            # Each file is parsed separately: a field that is set twice in one file is an error,
+            # but a later file may override a field of an earlier one.
             message.MergeFrom(text_format.Parse(text, message_class()))
         except text_format.ParseError as error:
             # The error's text starts with line and column.
@@ -278,7 +294,7 @@
     locations: _Locations,
     node_settings: Settings | None,
 ) -> OperatorSettings:
-    """Add counted resources and their rules, converted to structs and checked."""
+    """Convert and validate counted resources and their rules, and add them to the settings."""
     import msgspec
 
     from appleshift.protocol import counted_resources as protocol
@@ -309,7 +325,7 @@
 
 
 def _to_dict(message: Any) -> dict[str, Any]:
-    """Convert the fields of a message that are set, by name; enum values by theirs."""
+    """Convert the fields of a message that are set to a dict; enum values become their names."""
     values: dict[str, Any] = {}
     for field, value in message.ListFields():
         if field.name == "team":
