--- a/appleshift/contracts/__init__.py
+++ b/appleshift/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts of a node agree on: events in, actions out, and their interfaces."""
+"""Interfaces between the parts of a node: scheduler events, scheduler actions, protocols."""
--- a/appleshift/contracts/actions.py
+++ b/appleshift/contracts/actions.py
@@ -1,7 +1,7 @@
-"""What the scheduler decided, for others to carry out.
+"""Actions: decisions of the scheduler that other parts execute.
 
-The scheduler does no input or output. Its shard replica takes these actions after each
-step and passes them to workers, the cloud, other shards and waiting requests.
+The scheduler does no input or output. After each of its steps, the shard replica executes the
+actions: it calls workers, the cloud and other shards, and answers requests.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 class ReplyDestination(Protocol):
-    """Where the sender of a request waits for its answer."""
+    """A queue on which the thread that received a request waits for the scheduler's answer."""
 
     def put(self, item: Any) -> None:
-        """Pass on (status, body, retry after in seconds)."""
+        """Deliver the answer: (HTTP status, body, retry after in seconds)."""
         ...
 
 
@@ -23,32 +23,32 @@
     """Answer a request."""
 
     reply_to: ReplyDestination
-    """As it came with the request."""
+    """The destination given in the request."""
     status: int
-    """An HTTP status."""
+    """The HTTP status of the response."""
     body: Any
     """A dict, or a message of ``protocol.sharding`` for the leader of another shard."""
     retry_after_s: int = 0
-    """Seconds after which the request may be repeated; 0: not said."""
+    """Seconds after which the request may be repeated; 0: not specified."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendCommands:
-    """Send commands directly to a worker; the outcome comes back as ``CommandsSent``."""
+    """Send commands directly to a worker; the result is a ``CommandsSent`` event."""
 
     machine: str
     addr: str
     agent_epoch: int
-    """The epoch that the commands are for; a worker in another one refuses them."""
+    """The agent epoch for which the commands are meant; a worker in another one refuses them."""
     commands: list[dict[str, Any]]
     starts: tuple[tuple[str, int], ...] = ()
-    """Task and attempt of each start among the commands."""
+    """(task, attempt) of each start command in ``commands``."""
     fencing_token: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeMachine:
-    """Ask a silent worker for a heartbeat; it comes back as ``ProbeAnswered``."""
+    """Request a heartbeat from a silent worker; the result is a ``ProbeAnswered`` event."""
 
     machine: str
     addr: str
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RentMachines:
-    """Rent machines of one type from the cloud; answered by ``RentalAnswered``."""
+    """Rent machines of one type; the result is a ``RentalAnswered`` event."""
 
     request: str
-    """Identifies the rental to the cloud, so that it can be repeated."""
+    """Id of the rental, by which the cloud recognizes a repeated request."""
     type: str
     zone: str
     spot: bool
@@ -68,16 +68,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteMachines:
-    """Delete rented machines in one call; answered by ``DeletionAnswered``."""
+    """Delete rented machines in one call; the result is a ``DeletionAnswered`` event."""
 
     machines: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CallShard:
-    """Call the leader of another shard; answered by ``ShardReplyReceived``."""
+    """Call the leader of another shard; the result is a ``ShardReplyReceived`` event."""
 
     shard: int
+    """The shard to call."""
     message: Any
     """A message of ``protocol.sharding``."""
 
--- a/appleshift/contracts/events.py
+++ b/appleshift/contracts/events.py
@@ -1,7 +1,7 @@
-"""What reaches the scheduler's thread: one Struct for each kind of event.
+"""Events for the scheduler's thread, with one struct for each type of event.
 
-Every event names the shard it is for. A request carries the queue that its answer goes
-to. Other events belong to one term, and are void once that term is over.
+Every event except ``HandOverRequested`` is for one shard. An ``ApiRequest`` contains the queue
+for its answer. A ``TermEvent`` belongs to one term and is ignored once that term has ended.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Term(Protocol):
-    """An election won, as events see it; ``LeaderTerm`` implements it."""
+    """The part of a leader's term that events need; ``LeaderTerm`` implements it."""
 
     @property
     def shard(self) -> int:
@@ -25,10 +25,10 @@
 
 
 class ElectionWon(msgspec.Struct, frozen=True):
-    """This node was elected leader of a shard."""
+    """This node was elected as a shard's leader."""
 
     term: Any
-    """The ``LeaderTerm``, which a layer above defines."""
+    """The ``LeaderTerm``; not typed, because a higher layer defines that class."""
 
     @property
     def shard(self) -> int:
@@ -37,74 +37,74 @@
 
 
 class LeadershipLost(msgspec.Struct, frozen=True):
-    """This node leads a shard no more."""
+    """This node is no longer the leader of a shard."""
 
     shard: int
 
 
 class HandOverRequested(msgspec.Struct, frozen=True):
-    """Hand over all shards of this node in order: another node reaches more machines."""
+    """Hand over all shards of this node, because another node reaches more machines."""
 
 
 # -- requests ------------------------------------------------------------------
 
 
 class ApiRequest(msgspec.Struct, frozen=True):
-    """A request whose sender waits for (status, body, retry after in seconds)."""
+    """A request that is answered with (HTTP status, body, retry after in seconds)."""
 
     shard: int
     reply_to: Any
-    """A queue, or for a call from this node's own shards whatever has ``put``."""
+    """Destination of the answer: a queue, or another object with ``put`` for local calls."""
 
 
 class SubmitJob(ApiRequest, frozen=True):
-    """A user submits a job, or repeats a submission."""
+    """A user's submission of a job, or its repetition."""
 
     spec: Submission
     forwarded_by_home: bool = False
-    """The shard where the job's id belongs has recorded that this one decides for it."""
+    """Whether the home shard of the job id has recorded that this shard decides for the job."""
 
     @property
     def job_id(self) -> str:
-        """The id that the user gave to the job."""
+        """The job id, chosen by the user."""
         return self.spec.id
 
 
 class GetJobStatus(ApiRequest, frozen=True):
-    """A user asks how far a job is."""
+    """A user's request for the status of a job."""
 
     job_id: str
     forwarded_by_home: bool = False
     shard_map_version: int = 0
-    """Of the shard map by which the request was routed here; 0: there is none."""
+    """Version of the shard map by which the request was routed; 0: no shard map."""
 
 
 class CancelJob(ApiRequest, frozen=True):
-    """A user cancels a job."""
+    """A user's request to cancel a job."""
 
     job_id: str
     forwarded_by_home: bool = False
     shard_map_version: int = 0
-    """Of the shard map by which the request was routed here; 0: there is none."""
+    """Version of the shard map by which the request was routed; 0: no shard map."""
 
 
 class HeartbeatReceived(ApiRequest, frozen=True):
-    """A worker reports its tasks and waits for commands."""
+    """A worker's heartbeat; the answer contains commands."""
 
     heartbeat: Heartbeat
     encoded_tasks: bytes | None = None
-    """The heartbeat's task list as it was sent."""
+    """The heartbeat's task list as encoded by the worker."""
 
 
 class GetCountedResources(ApiRequest, frozen=True):
-    """An operator asks for counted resources."""
+    """An operator's request for counted resources."""
 
     after_audit_entry: int | None
-    """Number of the audit entry after which the audit is wanted; None: current counts."""
+    """Return the audit log after the entry with this number; None: return current counts."""
 
 
 class ShardRequestReceived(ApiRequest, frozen=True):
-    """The leader of another shard calls this one."""
+    """A call from the leader of another shard."""
 
     message: Any
     """A message of ``protocol.sharding``."""
@@ -114,98 +114,99 @@
 
 
 class TermEvent(msgspec.Struct, frozen=True):
-    """Something that concerns one term, compared by identity with the current one."""
+    """An event of one term; ignored unless ``term`` is the current term object."""
 
     term: Term
 
     @property
     def shard(self) -> int:
-        """The shard that the term leads."""
+        """The shard of the term."""
         return int(self.term.shard)
 
 
 class CommitSucceeded(TermEvent, frozen=True):
-    """The key-value store carried out a transaction of the write-ahead log."""
+    """The key-value store executed a transaction of the write-ahead log."""
 
     revision: int
 
 
 class CommitStalled(TermEvent, frozen=True):
-    """The key-value store takes no writes right now."""
+    """The key-value store accepts no writes at present."""
 
 
 class Fenced(TermEvent, frozen=True):
-    """A transaction's guard failed: another node leads the shard, or none does."""
+    """A transaction failed on its guards: this node does not lead the shard any more."""
 
 
 class CommandsSent(TermEvent, frozen=True):
-    """What became of ``SendCommands``."""
+    """The result of ``SendCommands``."""
 
     machine: str
     agent_epoch: int
     starts: tuple[tuple[str, int], ...]
     outcome: str
-    """``done``, ``refused``, or ``unknown`` if no answer came."""
+    """``done``, ``refused``, or ``unknown`` if there was no response."""
     heartbeat: Heartbeat | None
-    """The worker's answer, if it had one."""
+    """The heartbeat in the worker's response; None: the response contained none."""
 
 
 class ProbeAnswered(TermEvent, frozen=True):
-    """What became of ``ProbeMachine``."""
+    """The result of ``ProbeMachine``."""
 
     machine: str
     heartbeat: Heartbeat | None
-    """None: the worker did not answer."""
+    """The worker's response; None: the worker did not respond."""
 
 
 class MachineTypesListed(TermEvent, frozen=True):
-    """The machine types that the cloud rents."""
+    """The cloud's response with all machine types that can be rented."""
 
     types: list[MachineType]
 
 
 class MachinesListed(TermEvent, frozen=True):
-    """The machines that are rented, according to the cloud."""
+    """The cloud's list of rented machines."""
 
     machines: list[ListedMachine]
     complete: bool
-    """Whether the list could be read to its end."""
+    """Whether all pages and all rows of the list could be read."""
 
 
 class RentalAnswered(TermEvent, frozen=True):
-    """What became of ``RentMachines``."""
+    """The result of ``RentMachines``."""
 
     request: str
+    """Id of the rental, as in ``RentMachines``."""
     machines: list[str] | None
-    """Names of the machines rented; None: none, or it is not known."""
+    """Names of the rented machines; None: refused, or the result is unknown."""
     refused: bool
-    """The cloud has no such machines left, or calls the request malformed."""
+    """Whether the cloud has no such machines left or rejected the request as malformed."""
 
 
 class DeletionAnswered(TermEvent, frozen=True):
-    """What became of ``DeleteMachines``."""
+    """The result of ``DeleteMachines``."""
 
     machines: tuple[str, ...]
     confirmed: bool
-    """The cloud confirmed it: machines and tasks are gone."""
+    """Whether the cloud confirmed the deletion: the machines and their tasks no longer exist."""
 
 
 class LicenseServerAnswered(TermEvent, frozen=True):
-    """A license server answered a reservation request, or did not."""
+    """The result of a reservation request to a licence server."""
 
     resource: str
     serial: int
-    """Number of the request; a late answer to an older one is recognized by it."""
+    """Number of the request, by which late responses to older requests are recognized."""
     reply: Any
-    """A message of ``protocol.license_server``; None: no answer."""
+    """A message of ``protocol.license_server``; None: no response."""
 
 
 class ShardReplyReceived(TermEvent, frozen=True):
-    """The leader of another shard answered ``CallShard``, or did not."""
+    """The result of ``CallShard``."""
 
     target_shard: int
     reply: Any
-    """A message of ``protocol.sharding``; None: no answer."""
+    """A message of ``protocol.sharding``; None: no response."""
 
 
 Event = ElectionWon | LeadershipLost | HandOverRequested | ApiRequest | TermEvent
--- a/appleshift/node_limits/__init__.py
+++ b/appleshift/node_limits/__init__.py
@@ -1,1 +1,1 @@
-"""How much a node accepts at once, and how its tasks share its processor."""
+"""Limits of a node's connections, threads and queues, and of the time of recurring tasks."""
--- a/appleshift/node_limits/load_monitor.py
+++ b/appleshift/node_limits/load_monitor.py
@@ -1,4 +1,4 @@
-"""Logs how busy a node is, and whether it is short of processor time or memory."""
+"""Logs a node's load, and warns if the node is short of processor time or memory."""
 
 from __future__ import annotations
 
@@ -13,37 +13,41 @@
 
 LOG_INTERVAL_S = 30.0
 OVERLOAD_SHARE = 0.85
-"""Share of its time or memory above which a node warns that it is short of it."""
+"""Share of the time or of the memory above which a node logs that it is short of it."""
 
 
 class LoadMonitor:
-    """Logs a node's load twice a minute at most.
+    """Logs a node's load, at most once per ``LOG_INTERVAL_S``.
 
-    A node is busy while its scheduler handles a round: on a small share of a core the same
-    work takes longer. (The processor time that the system counts says little if the share is
-    enforced from outside.)
+    A node counts as busy while its scheduler runs a round. Wall-clock time is used, because
+    the same work takes longer on a small share of a core; processor time is no measure of load
+    if the share is enforced from outside.
     """
 
     def __init__(self, limits: MachineLimits, node_limits: NodeLimits, now: float) -> None:
-        """``limits`` are the node's resources, ``node_limits`` the bounds that follow from them."""
+        """``limits`` are the node's resources, ``node_limits`` the limits derived from them."""
         self._limits = limits
         self._node_limits = node_limits
-        self._logged_at = now
+        self._last_log_at = now
         self._busy_s = 0.0
-        self._max_handled = 0
+        self._max_events = 0
 
-    def record_round(self, began: float, now: float, handled: int, connections: int) -> None:
-        """Count one round of the scheduler, which handled so many events."""
-        self._busy_s += now - began
-        self._max_handled = max(self._max_handled, handled)
-        if now - self._logged_at < LOG_INTERVAL_S:
+    def record_round(self, started: float, now: float, events: int, connections: int) -> None:
+        """Record a round of the scheduler that ran from ``started`` to ``now``, in seconds.
+
+        ``events`` is the number of events handled in it, ``connections`` the number of open
+        connections.
+        """
+        self._busy_s += now - started
+        self._max_events = max(self._max_events, events)
+        if now - self._last_log_at < LOG_INTERVAL_S:
             return
         memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1000
-        self.log_load(self._busy_s / (now - self._logged_at), memory_mb, connections)
-        self._logged_at, self._busy_s, self._max_handled = now, 0.0, 0
+        self.log_load(self._busy_s / (now - self._last_log_at), memory_mb, connections)
+        self._last_log_at, self._busy_s, self._max_events = now, 0.0, 0
 
     def log_load(self, busy: float, memory_mb: float, connections: int) -> None:
-        """Log the load; ``busy`` is the share of the time between 0 and 1."""
+        """Log the load; ``busy`` is the busy share of the time, between 0 and 1."""
         limits, node_limits = self._limits, self._node_limits
         log.info(
             "node load busy_percent=%.0f memory_mb=%.0f memory_limit_mb=%.0f connections=%d"
@@ -53,15 +57,15 @@
             limits.memory_mb,
             connections,
             node_limits.connections,
-            self._max_handled,
+            self._max_events,
             node_limits.max_queued_events,
             threading.active_count(),
         )
-        if busy > OVERLOAD_SHARE or self._max_handled > node_limits.max_queued_events:
+        if busy > OVERLOAD_SHARE or self._max_events > node_limits.max_queued_events:
             log.warning(
                 "short of processor busy_percent=%.0f requests_at_once=%d",
                 busy * 100,
-                self._max_handled,
+                self._max_events,
             )
         if memory_mb > OVERLOAD_SHARE * limits.memory_mb:
             log.warning(
--- a/appleshift/node_limits/time_budget.py
+++ b/appleshift/node_limits/time_budget.py
@@ -1,4 +1,4 @@
-"""Keeps a recurring task to a share of the time."""
+"""Limits a recurring task to a share of the time."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 
 
 class TimeBudget:
-    """Limits a recurring task to a share of the time that passes.
+    """Limits a recurring task to a share of wall-clock time.
 
-    Wall-clock time counts: if the processor is short, the task takes longer and so runs
-    less often, which leaves more to the others. A run is a ``with`` block.
+    After each run, the task pauses in proportion to the run's duration. If the processor is
+    overloaded, runs take longer and thus become rarer, which leaves more time to other tasks.
+    Each run of the task is a ``with`` block on this object.
     """
 
     def __init__(self, clock: Callable[[], float], share: float) -> None:
-        """``clock`` gives seconds; ``share`` is between 0 and 1."""
+        """``clock`` returns seconds; ``share`` is above 0 and at most 1."""
         self._clock = clock
         self._pause_factor = 1.0 / share - 1.0
-        self._next_run = 0.0
-        self._started = 0.0
+        self._next_run_at = 0.0
+        self._started_at = 0.0
 
     def is_due(self) -> bool:
-        """Whether the pause after the last run is over."""
-        return self._clock() >= self._next_run
+        """Return whether the pause after the last run is over."""
+        return self._clock() >= self._next_run_at
 
     def __enter__(self) -> None:
-        """Start a run."""
-        self._started = self._clock()
+        """Start a run of the task."""
+        self._started_at = self._clock()
 
     def __exit__(self, *_: object) -> None:
-        """End a run and start the pause that follows from its duration."""
+        """End a run and start a pause in proportion to its duration."""
         now = self._clock()
-        self._next_run = now + (now - self._started) * self._pause_factor
+        self._next_run_at = now + (now - self._started_at) * self._pause_factor
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -1,6 +1,6 @@
-"""Messages between controller nodes: votes, status, connectivity, relayed heartbeats.
+"""Messages between controller nodes: lease votes, status, connectivity, relayed heartbeats.
 
-``rename`` maps to wire names.
+``rename`` maps attributes to wire names.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 CONNECTIVITY_PATH = "/peer/reach"
 HEARTBEAT_BATCH_PATH = "/peer/reports"
 MAX_BATCHED_HEARTBEATS = 10_000
-"""Most heartbeats in one batch; in practice the size of a request's body bounds it."""
+"""Largest number of heartbeats in one batch; in practice, ``MAX_BODY_BYTES`` limits it first."""
 
 
 class LeaseVoteRequest(
@@ -29,7 +29,10 @@
         "process_id": "process",
     },
 ):
-    """The leader asks a peer for a vote: not to stand for election for ``duration_s`` seconds."""
+    """A leader's request for a peer's lease vote.
+
+    A peer that grants the vote does not stand for election for ``duration_s`` seconds.
+    """
 
     leader: str
     fencing_token: int
@@ -37,25 +40,25 @@
     duration_s: float
     shard: int = 0
     process_id: str = ""
-    """Identifies the process that asks, not its node: a process that is restarted within a
-    moment must neither be bound, nor bind others, by what its predecessor sent."""
+    """Identifies the requesting process rather than its node: after a quick restart, requests
+    and votes of the previous process must not bind the new process or its peers."""
 
 
 class LeaseVote(msgspec.Struct, frozen=True, rename={"granted": "given", "process_id": "process"}):
-    """The answer to a request for a vote."""
+    """The response to a ``LeaseVoteRequest``."""
 
     granted: bool
     process_id: str = ""
-    """Identifies the process that answers; empty from an older version."""
+    """Identifies the responding process; empty if the peer runs an older version."""
 
 
 class HeldShard(msgspec.Struct, frozen=True, rename={"shard": "share", "fencing_token": "token"}):
-    """A shard that a node holds."""
+    """A shard that a node leads."""
 
     shard: int
     fencing_token: int
     entitled: bool
-    """It may answer for the shard right now."""
+    """Whether the node may answer requests as the shard's leader at present."""
 
 
 class PeerConnectivity(
@@ -67,14 +70,14 @@
         "store_reachable": "state",
     },
 ):
-    """What a node can connect to, as it measures itself."""
+    """A node's connectivity to workers and to the key-value store, as the node measures it."""
 
     worker_contact_age_s: float
-    """Seconds since a worker last sent or answered anything; negative: none has yet."""
+    """Seconds since the last request or response of any worker; negative: there was none yet."""
     uninterrupted_s: float
-    """Seconds for which workers have been in contact without a break."""
+    """Seconds for which the node has been in contact with workers without interruption."""
     store_reachable: bool
-    """The key-value store answered the last request."""
+    """Whether the key-value store responded to the node's last request."""
 
 
 class PeerStatus(
@@ -92,57 +95,57 @@
         "shard_map_version": "map_version",
     },
 ):
-    """The state of a node, which it sends to its peers."""
+    """The state of a node, sent to its peers."""
 
     name: str
     leading: bool
     fencing_token: int
     entitled: bool = False
-    """It may answer requests as the leader right now."""
+    """Whether the node may answer requests as the leader of the first shard at present."""
     relayed_fraction: float = 0.0
-    """Of a leader: fraction of the machines that send their heartbeats to other nodes."""
+    """Set by a leader: fraction of the machines that send their heartbeats to relays."""
     is_relay: bool = False
-    """It reaches the leader and relays heartbeats."""
+    """Whether the node reaches the leader and relays heartbeats to it."""
     held_shards: list[HeldShard] = []
-    """Shards that it holds beyond the first one, which the fields above describe."""
+    """Shards other than the first that the node leads; the fields above describe the first one."""
     shard_map_version: int = 0
-    """Version of the shard map that it follows; 0: it has none."""
+    """Version of the shard map that the node uses; 0: it has no shard map."""
     preferred_leaders: list[str] = []
-    """Of a leader: the node that is to hold each shard; "" for any."""
+    """Set by a leader, by shard: name of the node that is to lead the shard; "": any node."""
     process_id: str = ""
-    """Identifies the process that sends it; another one after each start."""
+    """Identifies the sending process; differs after each start of the node."""
     connectivity: PeerConnectivity | None = None
     worker_sample: list[str] = []
-    """Of a leader: addresses of workers to which other nodes may test their connectivity."""
+    """Set by a leader: addresses of workers that peers may probe to test their connectivity."""
 
 
 class ConnectivityRequest(msgspec.Struct, frozen=True):
-    """A leader that no worker answers asks whether a peer reaches some of them."""
+    """Request of a leader to which no worker responds: can the peer reach any of these workers?"""
 
     addresses: Annotated[list[str], msgspec.Meta(max_length=8)]
 
 
 class ConnectivityReply(msgspec.Struct, frozen=True):
-    """Whether the peer reaches any of them."""
+    """The response to a ``ConnectivityRequest``: whether the peer reached any of the workers."""
 
     reached: bool
 
 
 class HeartbeatBatch(msgspec.Struct, frozen=True, rename={"heartbeats": "reports"}):
-    """Heartbeats that a relay passes on, each as its worker sent it."""
+    """Heartbeats that a relay forwards to the leader, each encoded as its worker sent it."""
 
     heartbeats: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MAX_BATCHED_HEARTBEATS)]
 
 
 class RelayedResponse(msgspec.Struct, frozen=True):
-    """The response to one heartbeat; ``status`` is that of HTTP."""
+    """The leader's response to one relayed heartbeat; ``status`` is an HTTP status."""
 
     status: int
     body: msgspec.Raw
 
 
 class HeartbeatResponses(msgspec.Struct, frozen=True, rename={"responses": "answers"}):
-    """The leader's responses, in the order of the heartbeats."""
+    """The response to a ``HeartbeatBatch``: one response per heartbeat, in the same order."""
 
     responses: list[RelayedResponse]
 
@@ -157,17 +160,17 @@
 
 
 def decode_lease_vote_request(body: bytes) -> LeaseVoteRequest:
-    """Decode a request for a vote; ProtocolError if malformed."""
+    """Decode a request for a lease vote; ProtocolError if malformed."""
     return decode_as(_lease_vote_request_decoder, body)
 
 
 def decode_lease_vote(body: bytes) -> LeaseVote:
-    """Decode a vote; ProtocolError if malformed."""
+    """Decode the response to a request for a lease vote; ProtocolError if malformed."""
     return decode_as(_lease_vote_decoder, body)
 
 
 def decode_peer_status(body: bytes) -> PeerStatus:
-    """Decode a node's status; ProtocolError if malformed."""
+    """Decode the status of a peer; ProtocolError if malformed."""
     return decode_as(_peer_status_decoder, body)
 
 
@@ -182,10 +185,10 @@
 
 
 def decode_heartbeat_batch(body: bytes) -> HeartbeatBatch:
-    """Decode relayed heartbeats; ProtocolError if malformed."""
+    """Decode a batch of relayed heartbeats; ProtocolError if malformed."""
     return decode_as(_heartbeat_batch_decoder, body)
 
 
 def decode_heartbeat_responses(body: bytes) -> HeartbeatResponses:
-    """Decode the responses to relayed heartbeats; ProtocolError if malformed."""
+    """Decode the responses to a batch of relayed heartbeats; ProtocolError if malformed."""
     return decode_as(_heartbeat_responses_decoder, body)
--- a/appleshift/protocol/settings.py
+++ b/appleshift/protocol/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings file (TOML), which is checked as a whole when it is read.
+"""The node settings: a TOML file provided by the platform, validated when it is read.
 
-Names of fields are those of the file, except where ``rename`` says otherwise.
+Fields have the names that the file uses, except where ``rename`` maps them to others.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 import msgspec
 
 MIN_VALUE_KB = 2.0
-"""Least ``StateSettings.value_kb``: a log record must fit into one value of the store."""
+"""Smallest ``StateSettings.value_kb``: a log record must fit into one value of the store."""
 
 
 class SettingsError(Exception):
-    """The settings cannot be used.
+    """A settings file is invalid or cannot be read.
 
-    The text says where and why; ``path`` is the file, ``line`` (from 1) and ``field`` the
-    place in it, as far as they are known.
+    The text contains location and reason. ``path`` is the file; ``line`` (starting at 1) and
+    ``field`` are the location in it, or None if unknown.
     """
 
     def __init__(
         self, text: str, path: Path, line: int | None = None, field: str | None = None
     ) -> None:
-        """The text of the exception is ``text`` alone, which names the place as well."""
+        """``text`` becomes the text of the exception; it must contain the location."""
         super().__init__(text)
         self.path = path
         self.line = line
@@ -33,23 +33,25 @@
 
 
 class PeerSettings(msgspec.Struct, frozen=True, rename={"name": "host_name", "zone": "site"}):
-    """A peer: another controller node."""
+    """Name, zone and address of a peer (another controller node)."""
 
     name: str
     zone: str
     peer_addr: str
-    """``host:port`` on which it listens for its peers."""
+    """``host:port`` on which the peer listens for other nodes."""
 
 
 class ExternalServices(msgspec.Struct, frozen=True):
-    """``host:port`` of the cloud's API and of the key-value store."""
+    """Addresses (``host:port``) of external services."""
 
     cloud: str
+    """The cloud's API."""
     state: str
+    """The key-value store."""
 
 
 class TeamLimits(msgspec.Struct, frozen=True):
-    """Guarantee (``cpus``, ``gpus``) and limit (``..._max``) of a team; 0 means none."""
+    """A team's guarantees (``cpus``, ``gpus``) and limits (``..._max``); 0: none."""
 
     name: str
     cpus: float = 0.0
@@ -64,26 +66,27 @@
     kind: str
     """``wait``, ``finished`` or ``deadline``."""
     share: float
-    """Fraction of the jobs that are to be served within the objective."""
+    """Fraction of the jobs that must meet the objective."""
     job_class: str | None = None
+    """Class of the jobs to which the objective applies; None: the objective is ignored."""
     within_s: float = 0.0
-    """Of ``wait`` and ``finished``: seconds from the submission."""
+    """For ``wait`` and ``finished``: time limit in seconds from the job's submission."""
     times: float = 1.0
-    """Of ``deadline``: factor on the deadline that the job itself names."""
+    """For ``deadline``: factor by which the deadline in the job's submission is multiplied."""
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
-    """How workers behave. Durations are in seconds."""
+    """Behaviour of the workers; all durations are in seconds."""
 
     report_s: float
-    """Time between two heartbeats of a worker."""
+    """Interval of a worker's heartbeats."""
     lease_s: float
-    """Time after the last answered heartbeat at which a worker's lease expires."""
+    """Time from the last answered heartbeat until the worker's lease expires."""
     gang_wait_s: float
-    """Time for which a task of a gang waits for the others to start."""
+    """Time for which a started task of a gang waits for the gang's other tasks to start."""
     gang_peer_s: float
-    """Time within which the tasks of a gang notice that one of them is gone, and within which
-    all must be told to stop."""
+    """Time within which the tasks of a gang detect that one of them has ended. All tasks of a
+    gang must also receive their stop commands within this time."""
     cancel_s: float
     """Time within which all tasks of a cancelled job must have stopped."""
 
@@ -92,13 +95,13 @@
     """Limits of the key-value store."""
 
     rps: float
-    """Requests per second, of all nodes together."""
+    """Requests per second of all nodes together."""
     write_rps: float
-    """Puts and deletes per second, of all nodes together."""
+    """Puts and deletes per second of all nodes together."""
     value_kb: float
-    """Largest value, in KiB of its JSON form."""
+    """Largest size of a value, in KiB of its JSON encoding."""
     txn_ops: int
-    """Most puts and deletes of one transaction."""
+    """Largest number of puts and deletes in one transaction."""
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
@@ -107,11 +110,11 @@
     rps: float
     """Requests per second."""
     list_lag_s: float
-    """Seconds by which the list of machines lags, at times up to twice that."""
+    """Usual delay of the cloud's machine list in seconds; it may reach twice this value."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine that this node runs on grants to its process."""
+    """Resources that the node's host grants to the node's process."""
 
     core_share: float = 1.0
     """Fraction of one CPU core."""
@@ -120,37 +123,38 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What all nodes of a deployment have in common."""
+    """Settings that are the same for all nodes of a deployment."""
 
     zones: list[str]
     workers: WorkerSettings
     state: StateSettings
     cloud: CloudSettings
     initial_size: int = 1
-    """Number of nodes at first; it may have changed since."""
+    """Initial number of nodes; nodes may have been added or removed since."""
     clock_off_ms: float = 0.0
-    """Most milliseconds by which a node's time of day differs from true time."""
+    """Largest error of a node's wall clock, in milliseconds."""
     teams: list[TeamLimits] = []
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
 
 
 class Settings(msgspec.Struct, frozen=True, rename={"name": "host_name", "zone": "site"}):
-    """One node's settings."""
+    """The settings of one node."""
 
     name: str
     zone: str
     listen: str
-    """``host:port`` for users, workers and operators."""
+    """``host:port`` on which the node listens for users, workers and operators."""
     cluster_listen: str
-    """``host:port`` for peers."""
+    """``host:port`` on which the node listens for peers."""
     external: ExternalServices
     deployment: Deployment
     siblings: list[PeerSettings] = []
+    """The peers of this node."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``"10.0.0.1:8080"`` into host and port; ValueError if it is not of that form."""
+    """Split a ``host:port`` address such as ``10.0.0.1:8080``; ValueError if it is not one."""
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"not a host:port address: {address!r}")
@@ -158,7 +162,7 @@
 
 
 def _check(settings: Settings) -> None:
-    """ValueError with the reason if a value cannot be used."""
+    """Raise ValueError with the reason if a value is invalid."""
     _check_addresses(settings)
     _check_quantities(settings.deployment)
     _check_names(settings)
@@ -190,7 +194,7 @@
         "deployment.machine_limits.memory_mb": deployment.machine_limits.memory_mb,
     }
     for field, value in positive.items():
-        # Written this way round, since every comparison with NaN is false.
+        # Not ``value <= 0``: every comparison with NaN is false, and NaN must be rejected.
         if not 0 < value < math.inf:
             raise ValueError(f"{field} must be a number above 0, not {value}")
     if deployment.state.value_kb < MIN_VALUE_KB:
@@ -207,9 +211,9 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check a settings file; SettingsError if it cannot be used.
+    """Read and validate a settings file; SettingsError if it is invalid or unreadable.
 
-    Unknown fields are ignored, so that a newer platform may add some.
+    Unknown fields are ignored, since newer versions of the platform may add fields.
     """
     try:
         with path.open("rb") as file:
--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -1,6 +1,7 @@
-"""Messages between the holders of shards, and the shard map in the key-value store.
+"""Messages between the leaders of shards, and the shard map in the key-value store.
 
-``rename`` and ``tag`` map to wire names.
+``rename`` maps attributes to wire names; ``tag`` is the wire name of a message type. The leader
+of the first shard (shard 0) plans and rents machines for all shards.
 """
 
 from __future__ import annotations
@@ -16,49 +17,51 @@
 SHARD_CALL_PATH = "/peer/share"
 SHARD_MAP_KEY = "shares"
 MAX_SHARDS = 64
-"""Most shards that a map may have."""
+"""Largest number of shards in a shard map."""
 
 REPORTED_GONE, REPORTED_UP, REPORTED_DRAINING, REPORTED_MOVED = range(4)
-"""State of a machine at its shard's holder: it no longer exists, it works, it takes no new
-work, it was transferred to another shard."""
+"""Values of ``MachineSummary.state``: the machine no longer exists; it is in use; it accepts no
+new tasks; it was transferred to another shard."""
 
 
 class ShardMapEpoch(msgspec.Struct, frozen=True):
-    """Which shard has which machines and jobs, of those after a machine's name."""
+    """One version of the division of machines and new jobs among shards."""
 
     count: int
     """Number of shards."""
     after: str = ""
-    """This epoch is for machines with larger names, which were rented later."""
+    """The epoch applies to machines whose names sort after this one, as later rentals do."""
     cards: list[str] = []
-    """Machine types with GPUs: all of them belong to the first shard."""
+    """Machine types with GPUs; all machines of these types belong to the first shard."""
     plain: list[int] = msgspec.field(default_factory=lambda: [0])
-    """Shards among which the other machines are divided."""
+    """Shards among which the machines without GPUs are divided."""
     homes: list[int] = msgspec.field(default_factory=lambda: [0])
-    """Those of them that are given new jobs; the others finish what they have."""
+    """The shards of ``plain`` that accept new jobs; the others only finish their jobs."""
 
 
 class ShardMapValue(msgspec.Struct, frozen=True):
-    """Value of the key ``SHARD_MAP_KEY``."""
+    """The shard map: the value of ``SHARD_MAP_KEY`` in the key-value store."""
 
     epochs: list[ShardMapEpoch]
     changing: bool = False
-    """While the map changes, nobody but the leader holds a shard."""
+    """Whether the map is being changed; meanwhile, no node other than the leader leads a shard."""
     mark: str = ""
 
 
 class ArrayPartition(msgspec.Struct, frozen=True, array_like=True):
-    """Consecutive tasks of a job array that another shard is to run."""
+    """Consecutive tasks of an array that are assigned to another shard."""
 
     start: int
+    """Number of the first task."""
     count: int
+    """Number of tasks."""
     submitted: float
-    """Time of day of the job's submission, in seconds since 1970."""
+    """Wall-clock time of the job's submission, in seconds since 1970."""
     spec: Submission
 
 
 class TransferredMachine(msgspec.Struct, frozen=True, array_like=True):
-    """A machine without any task that moves to another shard."""
+    """A machine without tasks that is transferred to another shard."""
 
     name: str
     addr: str
@@ -66,9 +69,9 @@
     zone: str
     spot: bool
     transfer_count: int
-    """Counts its transfers: an earlier one that arrives late must not change anything."""
+    """Number of transfers of this machine, by which a delayed older transfer is ignored."""
     fencing_token: int
-    """The highest fencing token that its worker may have received."""
+    """The highest fencing token that the machine's worker may have received."""
 
 
 class PartitionRequest(
@@ -82,52 +85,58 @@
         "status_of": "wanted",
     },
 ):
-    """About jobs of which the receiving shard runs a partition; idempotent."""
+    """Request about array partitions and machines of the receiving shard; idempotent."""
 
     shard: int
+    """The sending shard."""
     partitions: list[ArrayPartition] = []
-    """To be accepted, unless they were already."""
+    """Partitions that the receiving shard is to accept, unless it already has."""
     cancelled: list[str] = []
-    """Jobs whose partition is to be cancelled for good, whether it has arrived or not."""
+    """Jobs whose partition is to be cancelled permanently, even if it is not yet received."""
     status_of: list[str] = []
-    """Jobs whose partition's status is to be returned."""
+    """Jobs for which the status of the partition is requested."""
     machines: list[TransferredMachine] = []
     """Machines that are transferred to the receiving shard."""
 
 
 class PartitionStatus(msgspec.Struct, frozen=True, array_like=True):
-    """The progress of a partition. All of it is durable."""
+    """The progress of an array partition; everything reported is durable."""
 
     id: str
     state: int
-    """``OPEN``, ``FINISHED`` or ``CANCELLED`` as in the cluster state; unless it is open,
-    none of its tasks will ever start there again."""
+    """``OPEN``, ``FINISHED`` or ``CANCELLED``, as in the cluster state. Unless the partition is
+    open, the shard never starts any of its tasks again."""
     done_ranges: list[int]
-    """If it is open: numbers of the tasks that are done, as ranges."""
+    """Numbers of the tasks that are done, as ranges; empty unless the partition is open."""
     running: int = 0
+    """Number of running tasks."""
 
 
 class PartitionReply(msgspec.Struct, frozen=True, tag="told", rename={"statuses": "standings"}):
-    """The answer to a ``PartitionRequest``."""
+    """The response to a ``PartitionRequest``."""
 
     statuses: list[PartitionStatus]
     machines: list[str] = []
-    """Those of the transferred machines that are this shard's by now, or were."""
+    """Transferred machines that the responding shard has accepted, now or earlier."""
 
 
 class MachineSummary(msgspec.Struct, frozen=True, array_like=True):
-    """A machine's state at its shard's holder."""
+    """The state of a machine, as reported by the leader of its shard."""
 
     name: str
     kind: str
     zone: str
     spot: bool
     state: int
+    """``REPORTED_GONE``, ``REPORTED_UP``, ``REPORTED_DRAINING`` or ``REPORTED_MOVED``."""
     idle: bool
 
 
 class UnmetNeed(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks for which the shard has no machine; memory in gigabytes, for each task."""
+    """Tasks for which the shard has no machine.
+
+    ``cpus``, ``gpus`` and ``memory_gb`` (gigabytes) are per task; ``kinds`` are machine types.
+    """
 
     cpus: float
     gpus: float
@@ -150,23 +159,26 @@
         "shortages": "lacking",
     },
 ):
-    """The state of a shard that the leader needs to scale the fleet for it."""
+    """The state of a shard, by which the leader of the first shard scales the fleet for it."""
 
     shard: int
     fencing_token: int
     seq: int
     machines: list[MachineSummary]
-    """Machines of which something has changed since the last summary."""
+    """Machines whose state has changed since the last summary."""
     capacity_needed: list[list[list[float]]]
-    """By pool, without and with GPUs: CPUs, GPUs and gigabytes needed in all, and without spot."""
+    """Required capacity by pool (first without, then with GPUs). Each pool has two lists of
+    CPUs, GPUs and gigabytes: the total, and the part that must not be on spot machines."""
     unplaceable: list[UnmetNeed]
-    """Work that no machine of the shard can ever run."""
+    """Tasks that no machine of the shard can ever run."""
     shortages: list[UnmetNeed]
-    """Work for which there is no room right now."""
+    """Tasks for which the shard has no free capacity at present."""
     evicted: list[tuple[str, str]]
-    """Spot markets, as (type, zone), that reclaimed a machine."""
+    """Spot markets, as (machine type, zone), in which a machine was reclaimed."""
     jobs: int = 0
+    """Number of jobs of the shard."""
     waiting: int = 0
+    """Number of tasks that wait for capacity."""
 
 
 class FleetPlan(
@@ -180,16 +192,17 @@
         "transfers": "hand_on",
     },
 ):
-    """The leader's answer to a ``ShardSummary``."""
+    """The response of the first shard's leader to a ``ShardSummary``."""
 
     fencing_token: int
     types: list[MachineType]
+    """All machine types that can be rented."""
     return_machines: list[str]
-    """Idle machines that are not needed any more."""
+    """Idle machines of the shard that are no longer needed and are to be deleted."""
     on_demand_spare: float
-    """On-demand capacity of this shard that is not needed, in on-demand machines."""
+    """On-demand capacity of the shard that is not needed, in units of on-demand machines."""
     transfers: list[tuple[str, int]] = []
-    """Idle machines that other shards need more: name and shard."""
+    """Idle machines to transfer, as (name, shard that needs the machine more)."""
 
 
 ShardRequest = PartitionRequest | ShardSummary
@@ -197,28 +210,28 @@
 
 
 class ShardCall(msgspec.Struct, frozen=True, rename={"target_shard": "to"}):
-    """A message to the holder of a shard."""
+    """A request to the leader of ``target_shard``."""
 
     target_shard: int
     message: ShardRequest
 
 
 _call_decoder = msgspec.msgpack.Decoder(ShardCall)
-_answer_decoder: msgspec.msgpack.Decoder[ShardReply] = msgspec.msgpack.Decoder(ShardReply)
+_reply_decoder: msgspec.msgpack.Decoder[ShardReply] = msgspec.msgpack.Decoder(ShardReply)
 
 
 def decode_call(body: bytes) -> ShardCall:
-    """Decode a message to a shard's holder; ProtocolError if malformed."""
+    """Decode a request to a shard's leader; ProtocolError if malformed."""
     return decode_as(_call_decoder, body)
 
 
 def decode_answer(body: bytes) -> ShardReply:
-    """Decode a shard holder's answer; ProtocolError if malformed."""
-    return decode_as(_answer_decoder, body)
+    """Decode the response of a shard's leader; ProtocolError if malformed."""
+    return decode_as(_reply_decoder, body)
 
 
 def decode_shard_map(value: Any) -> ShardMapValue:
-    """Convert the value of ``SHARD_MAP_KEY``; ProtocolError if it is not a shard map."""
+    """Convert the value of ``SHARD_MAP_KEY``; ProtocolError if malformed."""
     try:
         return msgspec.convert(value, ShardMapValue)
     except msgspec.ValidationError as error:
--- a/appleshift/protocol/wire.py
+++ b/appleshift/protocol/wire.py
@@ -1,4 +1,4 @@
-"""Encoding of message bodies, and the error that all decoders raise."""
+"""Encoding and decoding of message bodies, and the error that all decoders raise."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 import msgspec
 
 MAX_BODY_BYTES = 64 * 1024
-"""Largest request body, and largest answer to a worker or user, in bytes."""
+"""Largest body of a request, and of a response to a worker or user, in bytes."""
 
 T = TypeVar("T")
 
 _encoder = msgspec.msgpack.Encoder()
-_json = msgspec.json.Encoder()
+_json_encoder = msgspec.json.Encoder()
 
 
 class ProtocolError(Exception):
-    """A message breaks the protocol.
+    """A message is malformed or violates the protocol.
 
-    ``status`` is the HTTP status of the response that says so, ``reason`` its text, and
-    ``message_type`` the type that was expected, if there was one.
+    ``status`` and ``reason`` are the HTTP status and the text of the error response;
+    ``message_type`` is the expected type of the message, or None if there is none.
     """
 
     def __init__(self, status: int, reason: str, message_type: type | None = None) -> None:
-        """The text of the exception is ``reason`` alone."""
+        """``reason`` becomes the text of the exception."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -31,12 +31,12 @@
 
 
 def encode(body: Any) -> bytes:
-    """Encode a struct, or a body of built-in types, as MessagePack."""
+    """Encode a struct or built-in types as MessagePack."""
     return _encoder.encode(body)
 
 
 def decode(body: bytes) -> Any:
-    """Decode an untyped body; ProtocolError 400 if it is malformed."""
+    """Decode a MessagePack body to built-in types; ProtocolError 400 if malformed."""
     try:
         return msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -44,7 +44,7 @@
 
 
 def decode_as(decoder: msgspec.msgpack.Decoder[T], body: bytes) -> T:
-    """Decode a typed body; ProtocolError 400 if it is malformed or of another type."""
+    """Decode a body to the decoder's type; ProtocolError 400 if malformed or of another type."""
     try:
         return decoder.decode(body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -53,5 +53,5 @@
 
 
 def json_size(value: Any) -> int:
-    """Size in bytes as the key-value store's limits count it: that of the JSON form."""
-    return len(_json.encode(value))
+    """Return the size of a value's JSON encoding in bytes, by which the store's limits count."""
+    return len(_json_encoder.encode(value))
--- a/appleshift/protocol/workers.py
+++ b/appleshift/protocol/workers.py
@@ -1,4 +1,7 @@
-"""Messages between workers and controller nodes. ``rename`` maps to wire names."""
+"""Messages between workers and controller nodes.
+
+``rename`` maps attributes to wire names.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 EXITED = "exited"
 
 HEARTBEAT_TIMEOUT_S = 4.0
-"""Seconds for which a worker waits for the response to a heartbeat; then it tries the next node."""
+"""Timeout of a worker's heartbeat, in seconds; the worker then tries the next node."""
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
@@ -25,14 +28,14 @@
     frozen=True,
     rename={"task": "piece", "attempt": "try", "state": "status", "exit_reason": "cause"},
 ):
-    """The state of a task attempt at its worker."""
+    """The state of a task attempt, as reported by its worker."""
 
     task: str
     attempt: Count
     state: str
     exit_reason: str | None = None
     saved: bool | None = None
-    """Of a task that was stopped by command: whether its progress was saved."""
+    """Whether a task that was stopped by a command wrote a checkpoint; None: not reported."""
 
 
 class Heartbeat(
@@ -50,7 +53,7 @@
         "reclaim_in_s": "recall_in_s",
     },
 ):
-    """The state of a worker. Of two, that with the larger (``agent_epoch``, ``seq``) is newer."""
+    """A worker's report of its state; the newest one has the largest (``agent_epoch``, ``seq``)."""
 
     machine: str
     addr: str
@@ -58,13 +61,13 @@
     zone: str
     spot: bool
     agent_epoch: Count
-    """Starts at 1 and is raised whenever the worker's lease expires."""
+    """Starts at 1 and is increased whenever the worker's lease expires."""
     seq: Count
     fencing_token: Count
     """The highest fencing token that the worker has received."""
     tasks: list[TaskStatus]
     reclaim_in_s: float | None = None
-    """Seconds until the cloud takes a spot instance back, once it has announced that."""
+    """Seconds until the cloud reclaims the spot machine; None: no reclaim is announced."""
 
 
 class HeartbeatHeader(
@@ -81,7 +84,7 @@
         "reclaim_in_s": "recall_in_s",
     },
 ):
-    """A heartbeat decoded in part: its tasks stay encoded."""
+    """A partly decoded heartbeat: the task list stays encoded."""
 
     machine: str
     type: str
@@ -97,42 +100,42 @@
 
 
 def decode_heartbeat_header(body: bytes) -> HeartbeatHeader:
-    """Decode a heartbeat without its tasks; ProtocolError if malformed."""
+    """Decode a heartbeat except its task list; ProtocolError if malformed."""
     return decode_as(_header_decoder, body)
 
 
 def decode_heartbeat(body: bytes) -> Heartbeat:
-    """Decode a whole heartbeat; ProtocolError if malformed."""
+    """Decode a heartbeat with its task list; ProtocolError if malformed."""
     return decode_as(_heartbeat_decoder, body)
 
 
 def start_command(task: str, attempt: int) -> dict[str, Any]:
-    """Command to start a task attempt."""
+    """Return the command that starts a task attempt."""
     return {"verb": "run", "piece": task, "try": attempt}
 
 
 def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
-    """Command to stop a task attempt, which has ``grace_s`` seconds to write a checkpoint."""
+    """Return the command that stops a task attempt; it has ``grace_s`` seconds to checkpoint."""
     return {"verb": "kill", "piece": task, "try": attempt, "wind_down_s": grace_s}
 
 
 def clear_command(task: str, attempt: int) -> dict[str, Any]:
-    """Command to forget a task attempt that has ended."""
+    """Return the command that removes an ended task attempt from the worker's state."""
     return {"verb": "clear", "piece": task, "try": attempt}
 
 
 def heartbeat_response(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """Body of the response to a heartbeat."""
+    """Return the body of the response to a heartbeat."""
     return {"baton": fencing_token, "orders": commands}
 
 
 def direct_command_body(
     fencing_token: int, agent_epoch: int, commands: list[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Body of a request that sends commands to a worker between its heartbeats."""
+    """Return the body of a request that sends commands to a worker between heartbeats."""
     return {"baton": fencing_token, "shift": agent_epoch, "orders": commands}
 
 
 def redirect_body(leader: str | None) -> dict[str, Any]:
-    """Body that redirects a worker to the leader, which is left out if it is not known."""
+    """Return the body that redirects a worker to the leader; empty if the leader is unknown."""
     return {} if leader is None else {"foreman": leader}
