--- a/appleshift/transport/request_handler.py
+++ b/appleshift/transport/request_handler.py
@@ -12,9 +12,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_REQUEST_BODY_BYTES = 64 * 1024
 """Largest body of a request, in bytes."""
-MAX_HEAD = 16 * 1024
+MAX_REQUEST_HEAD_BYTES = 16 * 1024
 """Largest size of all header lines of a request together, in bytes."""
 _MAX_LENGTH_DIGITS = 9
 """Numbers with more digits are not even converted: that takes time for very long ones."""
@@ -43,7 +43,7 @@
         super().handle_one_request()
 
     def _expect_request(self) -> None:
-        self.deadlines.await_request(self.connection)
+        self.deadlines.mark_idle(self.connection)
 
     def parse_request(self) -> bool:
         """Read the head of a request; False if it was refused.
@@ -51,7 +51,7 @@
         ``http.server`` parses it as if it were mail, which took a third of the time that a
         worker's heartbeat costs.
         """
-        self.deadlines.await_rest_of_request(self.connection)
+        self.deadlines.mark_receiving(self.connection)
         # Until the head is understood, nobody can tell where another request would begin.
         self.close_connection = True
         if not self._parse_request_line() or not self._read_header_fields():
@@ -79,9 +79,9 @@
         self.header_fields: dict[str, str] = {}
         size = 0
         while True:
-            line = self.rfile.readline(MAX_HEAD + 1)
+            line = self.rfile.readline(MAX_REQUEST_HEAD_BYTES + 1)
             size += len(line)
-            if size > MAX_HEAD:
+            if size > MAX_REQUEST_HEAD_BYTES:
                 self.send_error(431)
                 return False
             if line in (b"\r\n", b"\n"):
@@ -100,11 +100,11 @@
     def _serve(self) -> None:
         body = self._read_body()
         if body is not None:
-            self.deadlines.await_response_sent(self.connection)
+            self.deadlines.mark_responding(self.connection)
             response = self.app(Request(self.command, self.path, body))
             # Nothing blocks between here and the write. A process that was suspended after
             # it had made the response out therefore notices that it is out of date.
-            self._send(response.current())
+            self._send(response.revalidated())
 
     do_GET = do_POST = do_DELETE = do_PUT = do_HEAD = do_PATCH = do_OPTIONS = _serve  # noqa: N815 (http.server looks methods up by these names)
 
@@ -117,7 +117,7 @@
         if not (length.isascii() and length.isdecimal()):
             self._refuse(400)
             return None
-        if len(length) > _MAX_LENGTH_DIGITS or int(length) > MAX_BODY:
+        if len(length) > _MAX_LENGTH_DIGITS or int(length) > MAX_REQUEST_BODY_BYTES:
             self._refuse(413)
             return None
         body = self.rfile.read(int(length))
