--- a/appleshift/protocol/counted_resources.py
+++ b/appleshift/protocol/counted_resources.py
@@ -116,7 +116,7 @@
             if team.name not in team_names:
                 return team.name, f"no such team; there are: {listed_teams}"
         if len(msgspec.json.encode(definition)) > value_bytes - _RECORD_OVERHEAD_BYTES:
-            return definition.name, "too long for one value of the state service"
+            return definition.name, "too long for one value of the key-value store"
     return None
 
 
--- a/appleshift/protocol/operator.py
+++ b/appleshift/protocol/operator.py
@@ -231,7 +231,7 @@
     for name, (low, high) in _BOUNDS.items():
         value = getattr(settings, name)
         if not math.isfinite(value) or not low <= value <= high:
-            raise _FieldError(name, f"must lie between {low} and {high}, not {value}")
+            raise _FieldError(name, f"must be between {low} and {high}, not {value}")
     if settings.max_groups <= settings.spare_groups:
         raise _FieldError("max_groups", "must be above spare_groups")
     if settings.renew_s * 2 > settings.leader_lease_s:
--- a/appleshift/protocol/peers.py
+++ b/appleshift/protocol/peers.py
@@ -16,7 +16,7 @@
 CONNECTIVITY_PATH = "/peer/reach"
 HEARTBEAT_BATCH_PATH = "/peer/reports"
 MAX_BATCHED_HEARTBEATS = 10_000
-"""Largest number of heartbeats in one batch; in practice, ``MAX_BODY_BYTES`` limits it first."""
+"""Largest number of heartbeats in one batch; in practice, the largest request body limits it."""
 
 
 class LeaseVoteRequest(
--- a/appleshift/protocol/sharding.py
+++ b/appleshift/protocol/sharding.py
@@ -44,8 +44,9 @@
 
     epochs: list[ShardMapEpoch]
     changing: bool = False
-    """Whether the map is being changed; meanwhile, no node other than the leader leads a shard."""
+    """Whether the map is being changed; meanwhile, only the first shard has a leader."""
     mark: str = ""
+    """Id of the leader's term that wrote the map."""
 
 
 class ArrayPartition(msgspec.Struct, frozen=True, array_like=True):
--- a/appleshift/sharding/shard_map_follower.py
+++ b/appleshift/sharding/shard_map_follower.py
@@ -337,15 +337,15 @@
             for shard, replica in sorted([*self._replicas.items()])
             if shard and replica.lease.is_leader
         ]
-        preferred_holders: list[str] = []
+        preferred_leaders: list[str] = []
         move = self._requested_move
         if move is not None and status.entitled:
-            preferred_holders = [""] * move[0] + [move[1]]
+            preferred_leaders = [""] * move[0] + [move[1]]
         return msgspec.structs.replace(
             status,
             held_shards=held_shards,
             shard_map_version=self.version,
-            preferred_leaders=preferred_holders,
+            preferred_leaders=preferred_leaders,
         )
 
     # -- calls between shards ----------------------------------------------------------------
