--- a/appleshift/__init__.py
+++ b/appleshift/__init__.py
@@ -1,3 +1,3 @@
-"""A cluster scheduler that rents its machines and keeps its promises when they fail."""
+"""A cluster scheduler that rents its machines and tolerates their failures."""
 
 __version__ = "0.1.0"
--- a/appleshift/__main__.py
+++ b/appleshift/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m appleshift``."""
+"""Entry point of ``python -m appleshift``."""
 
 import sys
 
--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -1,4 +1,4 @@
-"""The command line: runs a controller, checks settings, or queries nodes that run."""
+"""Command line: runs a controller, checks settings or queries running nodes."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from appleshift.transport.client import ClientError, HttpClient
 
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-"""Values of the environment variable LOG_LEVEL."""
+"""Accepted values of the environment variable LOG_LEVEL and their levels."""
 
 EXIT_OK = 0
 EXIT_FAILURE = 1
-"""An address cannot be bound, or a node does not give the answer."""
+"""Exit code if an address cannot be bound or a query to a node fails."""
 EXIT_USAGE = 2
-"""The arguments or the settings cannot be used."""
+"""Exit code for invalid arguments or settings."""
 
 LISTEN_RETRY_S = 0.1
-"""Seconds between two attempts to bind an address that is in use."""
+"""Seconds before binding an address that is in use is retried."""
 LOG_REPEAT_S = 30.0
-"""Least number of seconds between two log lines about an address in use."""
+"""Least seconds between two log lines about an address in use."""
 QUERY_TIMEOUT_S = 5.0
-"""Seconds for one request to a node."""
+"""Timeout of one request to a node, in seconds."""
 COUNTED_RESOURCES_TIMEOUT_S = 30.0
-"""Seconds for which a request that is answered with 503 is repeated. Nodes do so while there
-is no leader, and for pages that are read too fast."""
+"""Seconds for which requests of the command ``seats`` are retried after status 503. Nodes send
+it while there is no leader, and if pages are requested too fast."""
 COUNTED_RESOURCES_RETRY_S = 0.5
-"""Seconds between two such requests."""
+"""Seconds before a request of the command ``seats`` is retried after status 503."""
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -55,7 +55,7 @@
     parser.add_argument(
         "--config", type=Path, metavar="FILE", help="run a controller with these settings (TOML)"
     )
-    _operator_option(parser, "operators' own settings (protobuf text format), with --config")
+    _add_operator_option(parser, "operators' own settings (protobuf text format), with --config")
     _add_commands(parser)
     return parser
 
@@ -65,11 +65,11 @@
 
     run = commands.add_parser("run", help="run a controller")
     run.add_argument("config", type=Path, help="settings file (TOML)")
-    _operator_option(run)
+    _add_operator_option(run)
 
     check = commands.add_parser("check", help="check settings without starting anything")
     check.add_argument("config", type=Path, help="settings file (TOML)")
-    _operator_option(check)
+    _add_operator_option(check)
 
     nodes = commands.add_parser("nodes", help="ask nodes who leads")
     nodes.add_argument("address", nargs="+", help="host:port of a node")
@@ -90,7 +90,9 @@
     )
 
 
-def _operator_option(parser: argparse.ArgumentParser, text: str = "operators' settings") -> None:
+def _add_operator_option(
+    parser: argparse.ArgumentParser, text: str = "operators' settings"
+) -> None:
     parser.add_argument(
         "--operator",
         type=Path,
@@ -100,7 +102,7 @@
     )
 
 
-def _set_up_logging() -> None:
+def _configure_logging() -> None:
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
@@ -113,12 +115,12 @@
         )
 
 
-def _listen(node: Node, stopped: threading.Event) -> bool:
-    """Bind the node's addresses; False if stopped before. OSError if one can't be bound.
+def _bind_addresses(node: Node, stopped: threading.Event) -> bool:
+    """Bind the node's addresses, retrying while one is in use; False if stopped before.
 
-    An address in use is waited for: a process that is restarted within a moment may find its
-    predecessor still running, and must not exit for that. If another program has the
-    address, the log line tells so.
+    Raises OSError if an address can't be bound for another reason. After a quick restart the
+    previous process may still run, which must not end the new one. The log line shows the
+    error, in case another program uses the address.
     """
     logged_at = float("-inf")
     while True:
@@ -136,16 +138,16 @@
             return False
 
 
-def _run(options: argparse.Namespace) -> int:
+def _run_controller(options: argparse.Namespace) -> int:
     """Run a controller until SIGTERM or SIGINT."""
     settings = load_settings(options.config)
     operator_settings = load_operator_settings(options.operator, settings)
     stopped = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stopped.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stopped.set())
     node = Node(settings, operator_settings)
     try:
-        if not _listen(node, stopped):
+        if not _bind_addresses(node, stopped):
             return EXIT_OK
     except OSError as error:
         _print_error(f"cannot listen: {error}")
@@ -156,21 +158,21 @@
     return EXIT_OK
 
 
-def _check(options: argparse.Namespace) -> int:
-    """Read both kinds of settings without starting anything."""
+def _check_settings(options: argparse.Namespace) -> int:
+    """Validate both settings files; SettingsError if one is invalid."""
     load_operator_settings(options.operator, load_settings(options.config))
     print("settings are fine")
     return EXIT_OK
 
 
-def _nodes(options: argparse.Namespace) -> int:
-    """Show each node's view of who leads."""
-    return max(_show(address, "/nodes") for address in options.address)
+def _print_leaders(options: argparse.Namespace) -> int:
+    """Print each node's view of the leader; return the highest exit code."""
+    return max(_print_response(address, "/nodes") for address in options.address)
 
 
-def _job(options: argparse.Namespace) -> int:
-    """Show a job's state."""
-    return _show(options.address, f"/submissions/{options.id}")
+def _print_job(options: argparse.Namespace) -> int:
+    """Print a job's state."""
+    return _print_response(options.address, f"/submissions/{options.id}")
 
 
 def _print_error(text: str) -> None:
@@ -182,13 +184,17 @@
 
 
 def _query(address: str, path: str) -> tuple[int, Any]:
-    """Return status and decoded body; ClientError, ProtocolError or ValueError without one."""
+    """Send a GET request and return the status and the decoded body.
+
+    Raises ClientError without a response, ProtocolError if the body is malformed, and ValueError
+    if the address is.
+    """
     status, body = HttpClient(split_address(address)).request("GET", path, None, QUERY_TIMEOUT_S)
     return status, decode(body) if body else None
 
 
-def _show(address: str, path: str) -> int:
-    """Print a node's answer as JSON."""
+def _print_response(address: str, path: str) -> int:
+    """Query a node and print its response as JSON; return the exit code."""
     try:
         status, body = _query(address, path)
     except (ClientError, ProtocolError, ValueError) as error:
@@ -198,15 +204,15 @@
     return EXIT_OK if status == 200 else EXIT_FAILURE
 
 
-def _counted_resources(options: argparse.Namespace) -> int:
-    """Show counted resources, or the history of their grants and returns."""
-    # Imported only here: other commands start faster without the libraries that it needs.
+def _print_counted_resources(options: argparse.Namespace) -> int:
+    """Print counted resources, or the history of their grants and returns."""
+    # Imported here because its libraries would delay the start of other commands.
     from appleshift.counted_resources import display
 
     deadline = time.monotonic() + COUNTED_RESOURCES_TIMEOUT_S
 
     def query(path: str) -> tuple[int, Any]:
-        return _query_until(options.address, path, deadline)
+        return _query_with_retries(options.address, path, deadline)
 
     try:
         if options.history:
@@ -220,8 +226,8 @@
     return EXIT_OK
 
 
-def _query_until(address: str, path: str, deadline: float) -> tuple[int, Any]:
-    """Like ``_query``, repeated while the answer is 503, up to a time of the monotonic clock."""
+def _query_with_retries(address: str, path: str, deadline: float) -> tuple[int, Any]:
+    """Like ``_query``, but retry after status 503 until ``deadline`` (monotonic seconds)."""
     while True:
         status, body = _query(address, path)
         if status != 503 or time.monotonic() > deadline:
@@ -236,20 +242,20 @@
         print(to_text(entry))
 
 
-_COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
-    "run": _run,
-    "check": _check,
-    "nodes": _nodes,
-    "job": _job,
-    "seats": _counted_resources,
+_COMMAND_FUNCTIONS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "run": _run_controller,
+    "check": _check_settings,
+    "nodes": _print_leaders,
+    "job": _print_job,
+    "seats": _print_counted_resources,
 }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command line and return the exit code; SystemExit for arguments it refuses."""
+    """Run the command line and return the exit code; SystemExit if arguments are invalid."""
     parser = _parser()
     options = parser.parse_args(arguments)
-    _set_up_logging()
+    _configure_logging()
     # Without a command, --config runs a controller.
     command = options.command or "run"
     if options.command is None and options.config is None:
@@ -257,7 +263,7 @@
         _print_error("give --config FILE or a command")
         return EXIT_USAGE
     try:
-        return _COMMANDS[command](options)
+        return _COMMAND_FUNCTIONS[command](options)
     except SettingsError as error:
         _print_error(str(error))
         return EXIT_USAGE
--- a/appleshift/errors.py
+++ b/appleshift/errors.py
@@ -1,7 +1,7 @@
-"""The root of the errors that the package raises for its callers to handle."""
+"""Base class of the package's exceptions."""
 
 from __future__ import annotations
 
 
 class AppleshiftError(Exception):
-    """Base class: a caller that handles it handles every declared failure of the package."""
+    """Base class of all exceptions that the package declares for its callers to handle."""
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -1,4 +1,4 @@
-"""One controller node: connects the layers and runs the loop of its schedulers."""
+"""Controller node: creates all components and runs the loop of the schedulers."""
 
 from __future__ import annotations
 
@@ -41,28 +41,30 @@
 log = logging.getLogger(__name__)
 
 IDLE_WAIT_S = 0.1
-"""Most seconds that a round of the loop waits for an event while there is nothing to do."""
+"""Most seconds that a round of the scheduler loop waits for an event without pending work."""
 BUSY_WAIT_S = 0.02
-"""The same while a replica has work left over from the last round."""
+"""Most seconds that a round waits for an event while a replica has pending work."""
 RELAY_UPDATE_INTERVAL_S = 1.0
-"""Seconds between two decisions on how many machines send their heartbeats to relays."""
-SAMPLE_INTERVAL_S = 2.5
-"""Seconds between two choices of workers that peers may test their connectivity with."""
-RELAY_GRACE_S = 3.0
-"""Seconds after a failover within which peers report that they can relay."""
-CROWDED_SHARE = 0.95
-"""Fraction of the connections above which workers keep theirs only for one heartbeat."""
+"""Seconds between two updates of the fraction of machines that send heartbeats to relays."""
+WORKER_SAMPLE_INTERVAL_S = 2.5
+"""Seconds between two choices of the workers that peers probe to test their connectivity."""
+RELAY_REPORT_WAIT_S = 3.0
+"""Seconds to keep the relayed fraction while no peer reports that it can relay: after a failover
+peers need a moment to report it."""
+KEEP_ALIVE_CONNECTIONS_FRACTION = 0.95
+"""If more than this fraction of the connections is open, workers close theirs after each
+heartbeat."""
 STORE_RATE_FRACTION = 0.9
-"""Part of the key-value store's rate limit that all nodes together use."""
+"""Fraction of the key-value store's rate limit that all nodes together use."""
 MIN_STORE_CLIENTS = 3
-"""Least number of nodes among which that rate is divided."""
+"""Least number of nodes among which the key-value store's rate limit is divided."""
 
 
 class Node:
-    """All threads of one controller process, and what they work on.
+    """A controller process: its components and threads.
 
-    Its schedulers, one for each shard that it leads, belong to the thread of ``_run_loop``
-    alone; other threads reach them by events that are posted to it.
+    Only the thread of ``_run_loop`` accesses the schedulers, one for each shard that the node
+    leads. Other threads post events to that thread.
     """
 
     def __init__(
@@ -72,7 +74,11 @@
         runtime: Runtime | None = None,
         connect: Callable[[tuple[str, int]], HttpCaller] = HttpClient,
     ) -> None:
-        """Connect the layers; nothing is sent before ``start``, nor any address bound."""
+        """Create the components.
+
+        ``listen`` binds the addresses; nothing is sent before ``start``. ``connect`` creates the
+        HTTP client for an address.
+        """
         self.runtime = runtime = runtime or ThreadRuntime()
         self.settings = settings
         self.operator = operator
@@ -94,15 +100,16 @@
         self.router = self._make_router()
         self._load_monitor = LoadMonitor(deployment.machine_limits, self._limits, runtime.now())
         self._listeners: list[HttpListener] = []
-        self._next_relay_update = self._next_sample_update = self._relays_seen_at = 0.0
+        self._next_relay_update = self._next_worker_sample_update = self._relays_last_seen_at = 0.0
         if operator.shares > 1:
             self._follow_shard_map()
 
     def _make_external_calls(self, connect: Callable[[tuple[str, int]], HttpCaller]) -> None:
-        """Clients of the key-value store, the workers and the cloud's API."""
-        settings, runtime, capacity = self.settings, self.runtime, self._limits
+        """Create the clients of the key-value store, the workers and the cloud's API."""
+        settings, runtime, limits = self.settings, self.runtime, self._limits
         deployment = settings.deployment
-        # All nodes use the rate, as does a node that leads or is a candidate by mistake.
+        # Each node gets an equal share of the rate, because any node may be leader or candidate,
+        # also one that wrongly believes so.
         nodes = max(MIN_STORE_CLIENTS, len(self._peer_clients) + 1)
         self.store = KeyValueStore(
             connect(split_address(settings.external.state)),
@@ -110,7 +117,7 @@
             runtime,
         )
         self.worker_calls = WorkerCalls(
-            self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
+            self._post, connect, runtime, thread_count=limits.calls, max_clients=limits.clients
         )
         self.cloud_calls = CloudCalls(
             self._post,
@@ -130,7 +137,7 @@
             self._peer_clients,
             connect,
             self._post,
-            # Identifies the writes of this process; a restarted one gets another.
+            # Process id: identifies this process's writes and differs after a restart.
             f"{settings.name}.{secrets.token_hex(4)}",
             self.worker_calls,
             self.cloud_calls,
@@ -142,7 +149,7 @@
         self.connectivity = ConnectivityMonitor(
             self.worker_calls.is_reachable,
             lambda: self.store.is_answering,
-            lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
+            lambda: any(replica.lease.is_leader for replica in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
             peer_clients,
             runtime,
@@ -169,46 +176,48 @@
                 ),
                 own_status=self._own_status,
                 shard_map=self._shard_map,
-                is_crowded=lambda: self._connection_count() > CROWDED_SHARE * limits.connections,
+                is_crowded=lambda: (
+                    self._connection_count() > KEEP_ALIVE_CONNECTIONS_FRACTION * limits.connections
+                ),
                 heartbeat_received=self.connectivity.heartbeat_received,
             )
         )
 
-    # -- the first shard, whose holder is the leader --------------------------------
+    # -- first shard; its leader is the leader of the cluster -------------------------
 
     @property
     def lease(self) -> LeaderLease:
-        """The leader's lease as this node knows it."""
+        """This node's view of the leader lease of the first shard."""
         return self.replicas[0].lease
 
     @property
     def election(self) -> LeaderElection:
-        """The election of the leader."""
+        """The leader election of the first shard."""
         return self.replicas[0].election
 
     @property
     def scheduler(self) -> Scheduler | None:
-        """The leader's scheduler; None unless this node leads."""
+        """The scheduler of the first shard; None unless this node leads it."""
         return self.replicas[0].scheduler
 
     # -- start and stop ---------------------------------------------------------------
 
     def listen(self) -> None:
-        """Bind both addresses; OSError if one can't be bound, after which it may be repeated.
+        """Bind both addresses; OSError if one can't be bound. May be retried after an OSError.
 
-        The process that has both addresses is the node. It sends nothing and is no candidate
-        before, so that by then an earlier process of this node has ended.
+        Only a process that has bound both addresses may act as the node. Until then it sends
+        nothing and is no candidate, which ensures that an earlier process of the node has ended.
         """
         settings, limits = self.settings, self._limits
         endpoints = (
             (settings.cluster_listen, self.router.cluster, limits.peers, limits.peers, "cluster"),
             (settings.listen, self.router.public, limits.connections, limits.threads, "listen"),
         )
-        for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
+        for address, app, max_connections, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
                 split_address(address),
                 app,
-                limit,
+                max_connections,
                 name,
                 dedicated_threads=threads,
                 pool_threads=POOL_THREADS,
@@ -216,8 +225,8 @@
             self._listeners.append(listener)
 
     def start(self) -> None:
-        """Start all threads; ``listen`` has bound the addresses."""
-        _set_up_garbage_collector()
+        """Start all threads; must be called after ``listen``."""
+        _configure_garbage_collector()
         self.runtime.spawn("core", self._run_loop)
         self.cloud_calls.start()
         for listener in self._listeners:
@@ -233,9 +242,9 @@
         log.info("node started node=%s listen=%s", self.settings.name, self.settings.listen)
 
     def stop(self) -> None:
-        """Release leadership and shards, stop accepting requests, end the threads.
+        """Release the leader leases of all shards, then close the listeners and end the threads.
 
-        In this order: once the addresses are free, another process may be this node.
+        The order matters: once the addresses are free, another process may act as this node.
         """
         self._stop.set()
         self._peer_monitor.stop()
@@ -265,7 +274,7 @@
         return None if self.shard_map_follower is None else self.shard_map_follower.shard_map
 
     def _follow_shard_map(self) -> None:
-        """From now on this node follows the shard map."""
+        """Create the follower of the shard map, and start it if the node has been started."""
         from appleshift.sharding.shard_map_follower import ShardMapFollower
 
         self.shard_map_follower = ShardMapFollower(
@@ -276,7 +285,7 @@
             self.shard_map_follower.start()
 
     def _add_replica(self, replica: ShardReplica) -> None:
-        """Take in a replica of a shard that the map has added."""
+        """Add the replica of a shard that was added to the shard map."""
         self.replicas[replica.shard] = replica
         if self._started:
             replica.start()
@@ -284,20 +293,19 @@
     def _own_status(self) -> peers.PeerStatus:
         now = self.runtime.now()
         first = self.replicas[0]
-        leadership, election = first.lease, first.election
+        lease, election = first.lease, first.election
         status = peers.PeerStatus(
             election.node_name,
-            leadership.is_leader,
-            leadership.fencing_token,
-            leadership.may_answer(now),
-            election.relayed_fraction if leadership.is_leader else 0.0,
-            # A quarter of the machines were once redirected to a relay that none could reach.
+            lease.is_leader,
+            lease.fencing_token,
+            lease.may_answer(now),
+            election.relayed_fraction if lease.is_leader else 0.0,
+            # A node that reaches no workers must not relay: once a quarter of the machines were
+            # redirected to a relay that none of them could reach.
             election.can_relay() and not self.connectivity.worker_contacts.is_lost(),
             process_id=self._context.process_id,
             connectivity=self.connectivity.own_connectivity(now),
-            worker_sample=[*self.connectivity.worker_contacts.sample]
-            if leadership.is_leader
-            else [],
+            worker_sample=[*self.connectivity.worker_contacts.sample] if lease.is_leader else [],
         )
         return (
             status
@@ -305,15 +313,15 @@
             else self.shard_map_follower.extend_status(status, now)
         )
 
-    # -- the schedulers' loop -----------------------------------------------------------
+    # -- scheduler loop -----------------------------------------------------------------
 
     def _run_loop(self) -> None:
         while not self._stop.is_set():
             try:
                 self._run_round()
             except Exception:
-                # State in memory may be inconsistent after a defect, what is durable is not.
-                # Another term starts from there.
+                # After an unexpected exception the state in memory may be inconsistent. The
+                # durable state is consistent, and the next term starts from it.
                 log.exception("scheduler failed: giving up this term")
                 for replica in [*self.replicas.values()]:
                     replica.scheduler = replica.term = None
@@ -323,15 +331,15 @@
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
         busy = any(replica.has_pending_work() for replica in replicas)
-        event = self._next_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
-        began = self.runtime.now()
-        handled = 0 if event is None else self._handle_waiting(event)
+        event = self._wait_for_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
+        started_at = self.runtime.now()
+        handled = 0 if event is None else self._handle_queued_events(event)
         for replica in replicas:
             replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
         elif self._peer_monitor.newest_shard_map_version:
-            # A peer follows a shard map that this node has not received.
+            # A peer has reported a shard map that this node does not follow yet.
             self._follow_shard_map()
         scheduler = self.scheduler
         if scheduler is not None:
@@ -339,24 +347,24 @@
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
         self._load_monitor.round_finished(
-            began, self.runtime.now(), handled, self._connection_count()
+            started_at, self.runtime.now(), handled, self._connection_count()
         )
         if handled:
-            # Events that come meanwhile are handled together in the next round: to wake up
-            # for a single event costs more than handling it.
+            # Events that arrive during this pause are handled together in the next round:
+            # waking up for a single event costs more than handling it.
             self.runtime.sleep(self._limits.round_pause_s)
 
-    def _next_event(self, timeout_s: float) -> events.Event | None:
-        """Wait for an event; None if there is none in time."""
+    def _wait_for_event(self, timeout_s: float) -> events.Event | None:
+        """Wait for an event; None if there is none within ``timeout_s`` seconds."""
         event: events.Event | None = None
         with contextlib.suppress(queue.Empty):
             event = self._events.get(timeout=timeout_s)
         return event
 
-    def _handle_waiting(self, event: events.Event) -> int:
-        """Handle an event and those that wait behind it by now; returns their number."""
-        # No event may be taken out without being handled, or a reply or the result of a
-        # commit would be lost.
+    def _handle_queued_events(self, event: events.Event) -> int:
+        """Handle an event and all events queued now; return the number of handled events."""
+        # Every event that is removed from the queue must be handled, or a reply or the result
+        # of a commit would be lost.
         handled = 1 + self._events.qsize()
         self._handle(event)
         for _ in range(handled - 1):
@@ -374,38 +382,39 @@
             self.replicas[event.shard].handle(event)
 
     def _update_worker_sample(self, scheduler: Scheduler, now: float) -> None:
-        """Choose workers of all zones to which peers may test their connectivity."""
-        if now < self._next_sample_update:
+        """Choose workers of all zones that peers probe to test their connectivity."""
+        if now < self._next_worker_sample_update:
             return
-        self._next_sample_update = now + SAMPLE_INTERVAL_S
+        self._next_worker_sample_update = now + WORKER_SAMPLE_INTERVAL_S
         if not scheduler.cluster.machines:
             self.connectivity.worker_contacts.forget()
-        by_zone: dict[int, list[str]] = {}
+        addresses_by_zone: dict[int, list[str]] = {}
         for machine in scheduler.cluster.machines.values():
-            addresses = by_zone.setdefault(machine.zone, [])
+            addresses = addresses_by_zone.setdefault(machine.zone, [])
             if (
                 machine.addr
-                and now - machine.last_contact_at < SAMPLE_INTERVAL_S
+                and now - machine.last_contact_at < WORKER_SAMPLE_INTERVAL_S
                 and len(addresses) < SAMPLE_SIZE
             ):
                 addresses.append(machine.addr)
-        rows = zip_longest(*(by_zone[zone] for zone in sorted(by_zone)))
+        # Alternates between the zones, so that the sample covers as many as possible.
+        rows = zip_longest(*(addresses_by_zone[zone] for zone in sorted(addresses_by_zone)))
         self.connectivity.worker_contacts.set_sample(
             address for row in rows for address in row if address
         )
 
     def _update_relayed_fraction(self, scheduler: Scheduler, now: float) -> None:
-        """Redirect heartbeats of some machines to relays if they are too many for this node."""
+        """Set the fraction of machines that send heartbeats to relays instead of to the leader."""
         if now < self._next_relay_update:
             return
         self._next_relay_update = now + RELAY_UPDATE_INTERVAL_S
         limits = self._limits
         relays = len(self.election.relays()) if self.operator.spread_reports else 0
-        self._relays_seen_at = max(self._relays_seen_at, scheduler.started_at)
+        self._relays_last_seen_at = max(self._relays_last_seen_at, scheduler.started_at)
         if relays:
-            self._relays_seen_at = now
-        elif self.operator.spread_reports and now - self._relays_seen_at < RELAY_GRACE_S:
-            # After a failover peers take a moment to report that they can relay.
+            self._relays_last_seen_at = now
+        elif self.operator.spread_reports and now - self._relays_last_seen_at < RELAY_REPORT_WAIT_S:
+            # After a failover peers need a moment to report that they can relay.
             return
         scheduler.fleet.set_max_machines(relay_assignment.max_machines(limits.machines, relays))
         fraction = relay_assignment.next_relayed_fraction(
@@ -419,10 +428,10 @@
             self.election.relayed_fraction = fraction
 
 
-def _set_up_garbage_collector() -> None:
-    # What was loaded at start lives for good: the collector may skip it.
+def _configure_garbage_collector() -> None:
+    # Objects created at startup live as long as the process: exclude them from collection.
     gc.collect()
     gc.freeze()
-    # A leader holds some hundred thousand objects and makes thousands a second, hardly any of
-    # them in cycles: it is enough to look for cycles less often than by default.
+    # A leader holds some hundred thousand objects and creates thousands per second, hardly any
+    # of them in cycles, so fewer collections than by default are enough.
     gc.set_threshold(20_000, 20, 20)
--- a/appleshift/transport/__init__.py
+++ b/appleshift/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP in and out: the listener and the pooled client. Knows nothing of jobs."""
+"""HTTP listener, HTTP client and thread primitives, independent of the scheduler."""
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -1,4 +1,4 @@
-"""A blocking HTTP client with pooled connections and timeouts."""
+"""A blocking HTTP client that reuses connections and enforces timeouts."""
 
 from __future__ import annotations
 
@@ -12,57 +12,58 @@
 import httptools
 
 CONTENT_TYPE = "application/msgpack"
-"""Of all bodies that are sent."""
+"""Content type of every request body."""
 RETRY_AFTER_HEADER, VALID_FOR_HEADER = b"retry-after", b"valid-for-ms"
-"""The only header fields that are kept, in lower case."""
+"""Names of the response header fields that are kept, in lower case."""
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-"""Largest response in bytes: lists and logs can be long, but no correct one is longer."""
+"""Largest response accepted, with its head. Listings and logs are long, but no valid response
+is longer."""
 _RECEIVE_BYTES = 65536
-"""Most bytes that one system call receives."""
+"""Most bytes received by one system call."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response, with the header fields that callers use, as text."""
+    """An HTTP response: status, body and the header fields used by callers, as text."""
 
     status: int
     body: bytes
     retry_after: str | None = None
-    """Seconds after which the request may be repeated."""
+    """Value of Retry-After: seconds to wait before retrying the request."""
     valid_for_ms: str | None = None
-    """Milliseconds for which the sender vouches for the response."""
+    """Value of Valid-For-Ms: milliseconds for which the sender guarantees the response."""
 
 
 class ClientError(Exception):
-    """There is no usable response. The request may have been executed, or may yet be."""
+    """No usable response was received; the server may still execute the request."""
 
 
 class HttpCaller(Protocol):
-    """Sends requests to one address; ``timeout`` is in seconds."""
+    """Sends HTTP requests to one address. Timeouts are in seconds."""
 
     def request(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> tuple[int, bytes]:
-        """Return the status and body of the response; ClientError without one in time."""
+        """Return status and body of the response; ClientError if none arrives in time."""
         ...
 
     def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> HttpResponse:
-        """Like ``request``, with the header fields of the response."""
+        """Return the response with its header fields; ClientError if none arrives in time."""
         ...
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the idle connections."""
         ...
 
 
 class _ResponseReader:
-    """Assembles one response; httptools' parser calls the ``on_...`` methods."""
+    """Collects one response; the parser of httptools calls the ``on_...`` methods."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.parts: list[bytes] = []
+        self.body_parts: list[bytes] = []
         self.headers: dict[bytes, str] = {}
         self.complete = False
         self.reusable = False
@@ -73,53 +74,53 @@
             self.headers[key] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        self.parts.append(body)
+        self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
         if self.parser.get_status_code() >= 200:
             self.complete = True
-            # Later on the parser would answer for the message after this one.
+            # Must be read here: the parser resets it for the next message.
             self.reusable = self.parser.should_keep_alive()
 
     def response(self) -> HttpResponse:
-        """Return the response once it is complete."""
+        """Return the response; valid only after ``complete`` is set."""
         return HttpResponse(
             self.parser.get_status_code(),
-            b"".join(self.parts),
+            b"".join(self.body_parts),
             self.headers.get(RETRY_AFTER_HEADER),
             self.headers.get(VALID_FOR_HEADER),
         )
 
 
 class HttpClient:
-    """Sends requests to one address; connections are kept for the next request.
+    """Sends HTTP requests to one address and keeps idle connections for later requests.
 
-    The standard library's client parses headers as if they were mail, which took most of a
-    controller's time for direct commands; httptools does not.
+    The standard library's client parses response headers with its mail parser, which took most
+    of the time that a controller spent on direct commands. httptools avoids that cost.
     """
 
     def __init__(
         self, address: tuple[str, int], max_idle_connections: int = 4, idle_timeout_s: float = 20.0
     ) -> None:
-        """Set how many idle connections are kept, and for how many seconds each."""
+        """Set how many idle connections are kept, and for how many seconds each is kept."""
         self._host, self._port = address
         self._max_idle_connections = max_idle_connections
         self._idle_timeout_s = idle_timeout_s
-        # With the time of the monotonic clock since which each is idle; used last, first out.
-        self._idle: deque[tuple[socket.socket, float]] = deque()
+        # Each idle connection with the monotonic time at which it became idle, newest last.
+        self._idle_connections: deque[tuple[socket.socket, float]] = deque()
         self._lock = threading.Lock()
 
     def request(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> tuple[int, bytes]:
-        """Return the status and body of the response; ClientError without one in time."""
+        """Return status and body of the response; ClientError if none arrives in time."""
         response = self.request_with_headers(method, path, body, timeout)
         return response.status, response.body
 
     def request_with_headers(
         self, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> HttpResponse:
-        """Like ``request``, with the header fields of the response."""
+        """Return the response with its header fields; ClientError if none arrives in time."""
         if not path.isascii() or any(character in path for character in " \r\n"):
             raise ClientError(f"{path!r} is not allowed in a request line")
         head = f"{method} {path} HTTP/1.1\r\nHost: {self._host}:{self._port}\r\n"
@@ -136,9 +137,9 @@
             if connection is not None:
                 connection.close()
             if reused and not isinstance(error, TimeoutError):
-                # The server closed the connection, perhaps because its process ended, and
-                # with it the others that are kept. Each of those would fail a request of
-                # its own, even though a restarted server is back within a moment.
+                # If the server process has ended, the other idle connections are closed as
+                # well, and each of them would fail one more request although the server may
+                # already have restarted.
                 self.close()
             raise ClientError(f"{self._host}:{self._port}{path}: {error!r}") from error
         if reader.reusable:
@@ -149,33 +150,38 @@
 
     @staticmethod
     def _receive(connection: socket.socket, deadline: float) -> _ResponseReader:
-        """Read one response; OSError or ValueError if it does not come whole in time."""
+        """Read one response.
+
+        Raises OSError (TimeoutError at the deadline), HttpParserError, or ValueError if the
+        response is cut off or too large.
+        """
         reader = _ResponseReader()
         size = 0
         while not reader.complete:
             data = connection.recv(_RECEIVE_BYTES)
             if not data:
-                raise ValueError("the connection ended within the response")
+                raise ValueError("connection closed before the end of the response")
             size += len(data)
             if size > MAX_RESPONSE_BYTES:
-                raise ValueError("the response is too large")
+                raise ValueError("response exceeds the maximum size")
             reader.parser.feed_data(data)
             if not reader.complete:
-                # The timeout is for the whole response: one that trickles must not renew it.
+                # The timeout covers the whole response: a socket timeout alone would start
+                # again with each byte of a slow response.
                 remaining_s = deadline - time.monotonic()
                 if remaining_s <= 0:
-                    raise TimeoutError("the response did not come whole in time")
+                    raise TimeoutError("response incomplete at the deadline")
                 connection.settimeout(remaining_s)
         return reader
 
     def _acquire(self, timeout: float) -> tuple[socket.socket, bool]:
-        """Return a connection, and whether it was used before."""
+        """Return a connection, and whether it was used by an earlier request."""
         now = time.monotonic()
         with self._lock:
-            while self._idle:
-                connection, idle_since = self._idle.pop()
-                # The server closes idle connections as well. A request on one that it is
-                # just closing would look like a request that was lost.
+            while self._idle_connections:
+                connection, idle_since = self._idle_connections.pop()
+                # The server closes idle connections too. A request sent while the server
+                # closes the connection fails without showing whether it was executed.
                 if now - idle_since < self._idle_timeout_s:
                     if connection.gettimeout() != timeout:
                         connection.settimeout(timeout)
@@ -187,13 +193,13 @@
 
     def _release(self, connection: socket.socket) -> None:
         with self._lock:
-            if len(self._idle) < self._max_idle_connections:
-                self._idle.append((connection, time.monotonic()))
+            if len(self._idle_connections) < self._max_idle_connections:
+                self._idle_connections.append((connection, time.monotonic()))
                 return
         connection.close()
 
     def close(self) -> None:
-        """Close the connections that are kept; later requests open others."""
+        """Close the idle connections; later requests open new ones."""
         with self._lock:
-            while self._idle:
-                self._idle.pop()[0].close()
+            while self._idle_connections:
+                self._idle_connections.pop()[0].close()
--- a/appleshift/transport/connection_deadlines.py
+++ b/appleshift/transport/connection_deadlines.py
@@ -1,7 +1,8 @@
-"""How long each open connection may wait for its client.
+"""Timeouts of open connections.
 
-A timeout of the socket would cost a system call for every read and write. Each connection
-notes a deadline here instead, and the listener shuts down those that are past theirs.
+A socket timeout would cost an additional system call for every read and write. Instead, the
+thread that serves a connection records a deadline, and the listener shuts down expired
+connections.
 """
 
 from __future__ import annotations
@@ -15,88 +16,95 @@
 log = logging.getLogger(__name__)
 
 IDLE_TIMEOUT_S = 30.0
-"""Seconds without a request after which a connection is closed."""
+"""Seconds after which a connection without a request is closed."""
 REQUEST_TIMEOUT_S = 5.0
-"""Seconds that a request may take from its first line to its last byte."""
+"""Most seconds to receive the rest of a request after its first line, on a pooled connection
+after its first byte."""
 RESPONSE_TIMEOUT_S = 10.0
-"""Seconds that a response may take, until its client has accepted all of it."""
+"""Most seconds to compute a response and send all of it to the client."""
 AT_LIMIT_IDLE_TIMEOUT_S = 5.0
-"""If the listener is at its limit, a connection that was idle for this many seconds is closed:
-clients that send requests keep theirs in a flood of those who do not."""
+"""Seconds of idleness after which a connection may be closed while the listener is at its limit.
+This protects clients that send requests from a flood of connections without requests."""
 
 
 @dataclass(slots=True)
 class _Deadline:
-    """Times of the monotonic clock, in seconds."""
+    """State of a connection since ``started_at``; it expires at ``expires_at``.
 
-    since: float
-    until: float
+    Both are seconds of the monotonic clock. ``idle`` is set while no request is in progress.
+    """
+
+    started_at: float
+    expires_at: float
     idle: bool
 
 
 class ConnectionDeadlines:
     """The open connections of a listener with their deadlines.
 
-    Each connection's entry is written only by the thread that serves it, so that no lock is
-    needed; the listener's thread reads copies.
+    Only the thread that serves a connection writes its entry, and the listener's thread reads
+    copies, so no lock is needed.
     """
 
     def __init__(self) -> None:
-        """There are no connections yet."""
+        """Start without connections."""
         self._deadlines: dict[socket.socket, _Deadline] = {}
 
     def __len__(self) -> int:
-        """Count the open connections."""
+        """Return the number of open connections."""
         return len(self._deadlines)
 
     def mark_idle(self, connection: socket.socket) -> None:
-        """From now on the connection is idle until its client sends a request."""
+        """Start the idle timeout: the connection waits for its next request."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + IDLE_TIMEOUT_S, True)
 
     def mark_receiving(self, connection: socket.socket) -> None:
-        """A request has begun to arrive."""
+        """Start the request timeout: the rest of a request is being received."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + REQUEST_TIMEOUT_S, False)
 
     def mark_responding(self, connection: socket.socket) -> None:
-        """A request has arrived; its answer is due."""
+        """Start the response timeout: a request is complete and its response is being sent."""
         now = time.monotonic()
         self._deadlines[connection] = _Deadline(now, now + RESPONSE_TIMEOUT_S, False)
 
     def remove(self, connection: socket.socket) -> None:
-        """Forget a connection that was closed."""
+        """Remove a closed connection."""
         self._deadlines.pop(connection, None)
 
     def shut_down_expired(self, now: float) -> None:
-        """End the connections that are past their deadlines."""
+        """Shut down the connections whose deadline is before ``now`` (monotonic seconds)."""
         for connection, deadline in list(self._deadlines.items()):
-            if now > deadline.until:
+            if now > deadline.expires_at:
                 log.debug("connection timed out idle=%s", deadline.idle)
                 _shut_down(connection)
 
     def shut_down_longest_idle(self) -> None:
-        """Make room for another connection, if one is idle for long."""
+        """Shut down the connection that has been idle for longest.
+
+        Does nothing if that is less than ``AT_LIMIT_IDLE_TIMEOUT_S``.
+        """
         idle = [
-            (deadline.since, connection)
+            (deadline.started_at, connection)
             for connection, deadline in list(self._deadlines.items())
             if deadline.idle
         ]
-        since, oldest = min(idle, key=lambda entry: entry[0], default=(math.inf, None))
-        if oldest is not None and time.monotonic() - since > AT_LIMIT_IDLE_TIMEOUT_S:
-            _shut_down(oldest)
+        idle_since, connection = min(idle, key=lambda entry: entry[0], default=(math.inf, None))
+        if connection is not None and time.monotonic() - idle_since > AT_LIMIT_IDLE_TIMEOUT_S:
+            _shut_down(connection)
 
     def shut_down_all(self) -> None:
-        """End all open connections."""
+        """Shut down all open connections."""
         for connection in list(self._deadlines):
             _shut_down(connection)
 
 
 def _shut_down(connection: socket.socket) -> None:
-    """End a connection without closing it, which is left to whoever serves it.
+    """Shut down a connection without closing its socket.
 
-    Its thread, blocked in a read or a write, wakes up and cleans up; of a connection without
-    one, a thread of the pool finds it at its end.
+    The thread that serves the connection closes the socket: a dedicated thread returns from its
+    blocked read or write; for a pooled connection, a thread of the pool reads the end of file.
     """
     try:
         connection.shutdown(socket.SHUT_RDWR)
--- a/appleshift/transport/http_messages.py
+++ b/appleshift/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""What an application that serves HTTP is given, and what it gives back."""
+"""HTTP requests and responses as exchanged with the application."""
 
 from __future__ import annotations
 
@@ -8,31 +8,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that has arrived whole."""
+    """A completely received HTTP request."""
 
     method: str
     path: str
-    """Path and query as they stand in the request line."""
+    """Path and query, undecoded, as in the request line."""
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """The answer to a request."""
+    """The response to an HTTP request."""
 
     status: int
     body: bytes = b""
     headers: dict[str, str] = field(default_factory=dict)
-    """Besides those that the listener writes. ``Connection: close`` ends the connection."""
+    """Header fields in addition to those of the listener. ``Connection: close`` closes the
+    connection after the response."""
     content_type: str = "application/msgpack"
     revalidate: Callable[[Response], Response] | None = None
-    """Called right before the response is sent: returns what is to be sent instead, if what
-    it says may be out of date by then."""
+    """Called immediately before sending. Returns the response to send, which is another one if
+    this response may be out of date. None: the response cannot become out of date."""
 
     def revalidated(self) -> Response:
-        """Return the response that is to be sent now."""
+        """Return the response to send now, after calling ``revalidate`` if there is one."""
         return self if self.revalidate is None else self.revalidate(self)
 
 
 App = Callable[[Request], Response]
-"""Answers a request; called in the thread that serves the connection."""
+"""The application: computes the response to a request. Called in the thread that serves the
+connection."""
--- a/appleshift/transport/pooled_connections.py
+++ b/appleshift/transport/pooled_connections.py
@@ -1,8 +1,9 @@
-"""Connections that have no thread of their own, served by a bounded pool of threads.
+"""Connections without dedicated threads, served by a bounded pool of threads.
 
-All threads of the pool wait for all of these connections at once. The one that is woken
-serves its connection and then lets the kernel watch it again. A queue between one thread
-that waits and others that serve would cost two more context switches for each request.
+All threads of the pool wait on one epoll instance with all of these connections. The kernel
+wakes one thread for each readable connection; that thread serves the connection and registers
+it again. Passing connections from one waiting thread to others through a queue would cost two
+more context switches per request.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 log = logging.getLogger(__name__)
 
 _READABLE_ONCE = select.EPOLLIN | select.EPOLLONESHOT
-"""Only one thread is woken when something arrives, until the connection is watched again."""
+"""Wakes only one thread when data arrives, until the connection is registered again."""
 
 
 class ServedConnection(Protocol):
-    """A connection that answers what has arrived without waiting for more requests."""
+    """A connection whose requests are served when data has arrived."""
 
     connection: socket.socket
 
     def serve_received_requests(self) -> bool:
-        """Answer the requests that have begun to arrive; False: the connection is over."""
+        """Serve the requests that have begun to arrive; False if the connection must be closed."""
         ...
 
 
@@ -34,56 +35,65 @@
 
 
 class PooledConnections(Generic[ServedConnectionT]):
-    """Between requests the kernel watches a connection; within one, a thread serves it.
+    """Connections that epoll watches between requests and a pool thread serves during requests.
 
-    Only the thread that serves a connection closes it, after it has ended the kernel's watch:
-    a file descriptor that is used again is then never mistaken for its predecessor.
+    A connection is closed by the thread that serves it, after unregistering it from epoll. A
+    reused file descriptor can therefore not be mistaken for the previous connection.
     """
 
-    def __init__(self, name: str, threads: int, close: Callable[[ServedConnectionT], None]) -> None:
-        """Serve with up to ``threads`` threads; ``close`` is called once per connection."""
+    def __init__(
+        self, name: str, max_threads: int, close: Callable[[ServedConnectionT], None]
+    ) -> None:
+        """Create a pool of up to ``max_threads`` threads.
+
+        ``close`` is called once per connection. ``name`` is the listener's name in thread names
+        and log lines.
+        """
         self._name = name
-        self._threads = threads
+        self._max_threads = max_threads
         self._close = close
         self._lock = threading.Lock()
-        self._started = 0
+        self._thread_count = 0
         self._stopped = False
         self._connections: dict[int, ServedConnectionT] = {}
         self._epoll = select.epoll()
-        # Becomes readable for every thread once the sending end is closed.
+        # Readable for every thread after ``stop`` has closed the sender.
         self._stop_receiver, self._stop_sender = socket.socketpair()
         self._epoll.register(self._stop_receiver, select.EPOLLIN)
 
     def add(self, connection: ServedConnectionT) -> None:
-        """Watch a new connection; it is closed at once if no thread can serve it."""
+        """Watch a new connection, or close it at once if no thread can serve it."""
         descriptor = connection.connection.fileno()
         with self._lock:
             self._connections[descriptor] = connection
-            is_served = not self._stopped and self._ensure_thread()
-            if is_served:
+            can_serve = not self._stopped and self._start_thread()
+            if can_serve:
                 self._epoll.register(descriptor, _READABLE_ONCE)
-        if not is_served:
-            self._drop(descriptor)
+        if not can_serve:
+            self._remove_and_close(descriptor)
 
-    def _ensure_thread(self) -> bool:
-        """Start one more thread if there may be more; False if there is none at all."""
-        if self._started < self._threads:
-            name = f"{self._name}-pool-{self._started + 1}"
+    def _start_thread(self) -> bool:
+        """Start another thread, up to the maximum; False if no thread is running."""
+        if self._thread_count < self._max_threads:
+            name = f"{self._name}-pool-{self._thread_count + 1}"
             try:
                 threading.Thread(target=self._run, name=name, daemon=True).start()
-                self._started += 1
+                self._thread_count += 1
             except RuntimeError:
-                # The operating system grants no more: those that run serve all connections.
+                # The operating system refuses another thread: those running serve all
+                # connections.
                 log.warning(
-                    "connection pool cannot grow listener=%s threads=%d", self._name, self._started
+                    "connection pool cannot grow listener=%s threads=%d",
+                    self._name,
+                    self._thread_count,
                 )
-        return self._started > 0
+        return self._thread_count > 0
 
     def stop(self) -> None:
-        """Close all connections; one with a request under way is closed after it."""
+        """Close all connections; a connection that is being served is closed afterwards."""
         with self._lock:
             self._stopped = True
-            has_no_thread = self._started == 0
+            has_no_thread = self._thread_count == 0
         self._stop_sender.close()
         if has_no_thread:
             self._close_all()
@@ -94,8 +104,8 @@
                 if descriptor != self._stop_receiver.fileno():
                     self._serve(descriptor)
         with self._lock:
-            self._started -= 1
-            is_last = self._started == 0
+            self._thread_count -= 1
+            is_last = self._thread_count == 0
         if is_last:
             self._close_all()
 
@@ -104,13 +114,13 @@
             self._epoll.modify(descriptor, _READABLE_ONCE)
         else:
             self._epoll.unregister(descriptor)
-            self._drop(descriptor)
+            self._remove_and_close(descriptor)
 
-    def _drop(self, descriptor: int) -> None:
+    def _remove_and_close(self, descriptor: int) -> None:
         self._close(self._connections.pop(descriptor))
 
     def _close_all(self) -> None:
         for descriptor in list(self._connections):
-            self._drop(descriptor)
+            self._remove_and_close(descriptor)
         self._epoll.close()
         self._stop_receiver.close()
--- a/appleshift/transport/pooled_request_handler.py
+++ b/appleshift/transport/pooled_request_handler.py
@@ -1,4 +1,4 @@
-"""One HTTP connection without a thread of its own."""
+"""HTTP connection served by a thread pool."""
 
 from __future__ import annotations
 
@@ -6,40 +6,41 @@
 
 
 class PooledRequestHandler(RequestHandler):
-    """Serves a connection by threads of a pool, one at a time, whenever something arrives."""
+    """Serves a connection on threads of a pool, one thread at a time, when data has arrived."""
 
     def handle(self) -> None:
-        """Do nothing: ``socketserver`` calls it at once, when no request has arrived yet."""
+        """Do nothing: ``socketserver`` calls this before a request has arrived."""
 
     def finish(self) -> None:
-        """Do nothing: ``socketserver`` calls it at once; ``close`` ends the connection."""
+        """Do nothing: ``socketserver`` calls this right after ``handle``. See ``close``."""
 
     def close(self) -> None:
-        """Send what is buffered and release the connection's files; OSError if it cannot."""
+        """Flush buffered data and close the connection's files; OSError if sending fails."""
         super().finish()
 
-    def _expect_request(self) -> None:
-        # The first bytes of the request are there, and a thread waits for the others.
+    def _set_read_deadline(self) -> None:
+        # The first bytes have arrived, and the thread of the pool waits for the rest.
         self.deadlines.mark_receiving(self.connection)
 
     def serve_received_requests(self) -> bool:
-        """Answer the requests that have begun to arrive; False: the connection is over."""
+        """Serve the requests that have begun to arrive; False if the connection must be closed."""
         try:
             self.handle_one_request()
-            while not self.close_connection and self._more_arrived():
+            while not self.close_connection and self._next_request_has_arrived():
                 self.handle_one_request()
         except Exception:
-            # Whatever the application raises ends this connection, not the pool's thread.
+            # An exception of the application ends this connection but not the thread.
             self.server.handle_error(self.connection, self.client_address)
             return False
         if not self.close_connection:
             self.deadlines.mark_idle(self.connection)
         return not self.close_connection
 
-    def _more_arrived(self) -> bool:
-        """Whether another request was read together with the last one.
+    def _next_request_has_arrived(self) -> bool:
+        """Whether another request has begun to arrive.
 
-        It stands in the buffer, where the kernel's watch on the socket doesn't see it.
+        If it was received with the previous one, it is in the read buffer, which epoll doesn't
+        watch.
         """
         self.connection.setblocking(False)
         try:
--- a/appleshift/transport/rate_limiter.py
+++ b/appleshift/transport/rate_limiter.py
@@ -1,4 +1,4 @@
-"""A token bucket that bounds the rate of calls."""
+"""Token bucket rate limiter."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from appleshift.transport.concurrency import Runtime
 
 _ROUNDING_ERROR = 1e-9
-"""The bucket fills in floating point, so that a whole token may miss 1 by this much."""
+"""Tolerance for floating point errors: a complete token may be this much below 1."""
 
 
 class RateLimiter:
-    """A token bucket: ``rate`` calls a second, with bursts of one second's worth."""
+    """A token bucket that allows ``rate`` calls per second and holds the tokens of one second."""
 
     def __init__(self, runtime: Runtime, rate: float) -> None:
-        """The bucket is full at first; ``rate`` is in calls per second."""
+        """Start with a full bucket; ``rate`` is in calls per second."""
         self._runtime = runtime
         self._rate = rate
         self._tokens = rate
@@ -22,16 +22,16 @@
         self._lock = threading.Lock()
 
     def try_acquire(self) -> bool:
-        """Take one token; False if there is none right now."""
+        """Take one token without blocking; False if there is none."""
         return self._acquire_or_wait_s() == 0.0
 
     def acquire(self) -> None:
-        """Take one token; blocks until there is one."""
+        """Take one token; block until there is one."""
         while wait_s := self._acquire_or_wait_s():
             self._runtime.sleep(wait_s)
 
     def _acquire_or_wait_s(self) -> float:
-        """0.0 if a token was taken, else the seconds until there will be one."""
+        """Take a token and return 0.0, or return the seconds until the next token."""
         with self._lock:
             now = self._runtime.now()
             self._tokens = min(self._rate, self._tokens + (now - self._refilled_at) * self._rate)
--- a/appleshift/transport/request_handler.py
+++ b/appleshift/transport/request_handler.py
@@ -1,4 +1,4 @@
-"""One HTTP connection: requests are read one after the other, and the application answers."""
+"""HTTP connection: reads requests, calls the application and sends its responses."""
 
 from __future__ import annotations
 
@@ -13,46 +13,46 @@
 log = logging.getLogger(__name__)
 
 MAX_REQUEST_BODY_BYTES = 64 * 1024
-"""Largest body of a request, in bytes."""
+"""Largest request body, in bytes."""
 MAX_REQUEST_HEAD_BYTES = 16 * 1024
-"""Largest size of all header lines of a request together, in bytes."""
+"""Largest total size of a request's header lines, in bytes."""
 _MAX_LENGTH_DIGITS = 9
-"""Numbers with more digits are not even converted: that takes time for very long ones."""
+"""Longer Content-Length values are refused unconverted: converting very long numbers is slow."""
 _REASONS = {status.value: status.phrase for status in http.HTTPStatus}
 
 
 class RequestHandler(BaseHTTPRequestHandler):
-    """Serves a connection that has a thread of its own.
+    """Serves one connection on a dedicated thread.
 
-    The listener makes a subclass with the application and its own deadlines.
+    The listener creates a subclass with its application and deadlines as class attributes.
     """
 
     protocol_version = "HTTP/1.1"
-    # Buffered, so that head and body leave in one packet.
+    # Buffered, so that head and body are sent together.
     wbufsize = -1
     disable_nagle_algorithm = True
-    # No timeout of the socket: see ``connection_deadlines``.
+    # Without a socket timeout: see ``connection_deadlines``.
     timeout = None
     app: App
     deadlines: ConnectionDeadlines
     raw_requestline: bytes
 
     def handle_one_request(self) -> None:
-        """Wait for a request and answer it."""
-        self._expect_request()
+        """Read one request and send its response."""
+        self._set_read_deadline()
         super().handle_one_request()
 
-    def _expect_request(self) -> None:
+    def _set_read_deadline(self) -> None:
         self.deadlines.mark_idle(self.connection)
 
     def parse_request(self) -> bool:
-        """Read the head of a request; False if it was refused.
+        """Read the head of a request; False if the request was refused.
 
-        ``http.server`` parses it as if it were mail, which took a third of the time that a
-        worker's heartbeat costs.
+        Replaces the method of ``http.server``, whose mail parser took a third of the time spent
+        on a worker's heartbeat.
         """
         self.deadlines.mark_receiving(self.connection)
-        # Until the head is understood, nobody can tell where another request would begin.
+        # If the head is invalid, the beginning of the next request is unknown.
         self.close_connection = True
         if not self._parse_request_line() or not self._read_header_fields():
             return False
@@ -75,7 +75,7 @@
         return True
 
     def _read_header_fields(self) -> bool:
-        """Read up to the empty line; False if the request was refused."""
+        """Read the header fields up to the empty line; False if the request was refused."""
         self.header_fields: dict[str, str] = {}
         size = 0
         while True:
@@ -92,7 +92,7 @@
                 return False
             key = name.strip().lower()
             if key == "content-length" and key in self.header_fields:
-                # With two lengths nobody can tell where the next request begins.
+                # With two lengths the beginning of the next request is ambiguous.
                 self.send_error(400)
                 return False
             self.header_fields[key] = value.strip()
@@ -102,14 +102,14 @@
         if body is not None:
             self.deadlines.mark_responding(self.connection)
             response = self.app(Request(self.command, self.path, body))
-            # Nothing blocks between here and the write. A process that was suspended after
-            # it had made the response out therefore notices that it is out of date.
+            # Revalidated last, because nothing blocks between here and the write: a process
+            # that was suspended after computing the response detects that it is out of date.
             self._send(response.revalidated())
 
     do_GET = do_POST = do_DELETE = do_PUT = do_HEAD = do_PATCH = do_OPTIONS = _serve  # noqa: N815 (http.server looks methods up by these names)
 
     def _read_body(self) -> bytes | None:
-        """Read the request's body; None if the request was refused or broke off."""
+        """Read the request's body; None if the request was refused or is incomplete."""
         if self.header_fields.get("transfer-encoding") is not None:
             self._refuse(411)
             return None
@@ -127,7 +127,7 @@
         return body
 
     def _refuse(self, status: int) -> None:
-        # The body stays unread, so that no further request can be read from here.
+        # The body is left unread, so the connection can't be used for another request.
         self.close_connection = True
         self._send(Response(status))
 
@@ -147,7 +147,7 @@
         self.wfile.write(head.encode("latin-1") + b"\r\n" + body)
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Answer what ``http.server`` itself refuses, without its HTML page."""
+        """Refuse a request with an empty body instead of the HTML page of ``http.server``."""
         self.close_connection = True
         self.request_version = "HTTP/1.1"
         self.command = getattr(self, "command", None) or "GET"
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -21,25 +21,24 @@
 log = logging.getLogger(__name__)
 
 DEADLINE_CHECK_S = 1.0
-"""Seconds between two checks of all deadlines."""
+"""Seconds between two checks for expired connections."""
 LOG_INTERVAL_S = 30.0
-"""Least number of seconds between two log lines about refused connections."""
+"""Least seconds between two log lines about refused connections."""
 POLL_INTERVAL_S = 0.5
-"""Seconds after which ``service_actions`` runs even if no connection comes."""
+"""Most seconds between two calls of ``service_actions`` without new connections."""
 
 
 class HttpListener(ThreadingHTTPServer):
     """Accepts connections up to a limit and closes those beyond the limit at once.
 
-    A connection that waits too long, for a request, for the rest of one or until a response
-    is accepted, is closed by the accepting thread, which checks all of them about once a
-    second.
+    The accepting thread checks all connections about once a second. It shuts down those whose
+    client takes too long to send a request or its rest, or to receive a response.
     """
 
     daemon_threads = True
     block_on_close = False
     allow_reuse_address = True
-    # All workers connect at once after a failover; the operating system bounds it as well.
+    # After a failover all workers connect at once. The operating system has its own limit.
     request_queue_size = 4096
 
     def __init__(
@@ -62,8 +61,8 @@
         )
         self._name = name
         self._deadlines = ConnectionDeadlines()
-        self._next_check = self._next_log = 0.0
-        self._max_connections, self._refused = max_connections, 0
+        self._next_deadline_check = self._next_refusal_log = 0.0
+        self._max_connections, self._refused_count = max_connections, 0
         class_attributes = {"app": staticmethod(app), "deadlines": self._deadlines}
         handler = type("BoundHandler", (RequestHandler,), class_attributes)
         self._pooled_handler_class = type(
@@ -71,24 +70,26 @@
         )
         self._pooled_connections: PooledConnections[PooledRequestHandler] | None = None
         if dedicated_threads is not None and dedicated_threads < max_connections:
-            self._pooled_connections = PooledConnections(name, pool_threads, self._close_pooled)
+            self._pooled_connections = PooledConnections(
+                name, pool_threads, self._close_pooled_connection
+            )
         super().__init__(address, handler)
 
     def server_bind(self) -> None:
-        """Bind without ``HTTPServer``'s look-up of the host's name: there may be no DNS."""
+        """Bind the address without the DNS query of ``HTTPServer``: there may be no DNS."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_address = self.socket.getsockname()
         self.server_name, self.server_port = str(self.server_address[0]), self.server_address[1]
 
     def connection_count(self) -> int:
-        """Count the open connections."""
+        """Return the number of open connections."""
         return len(self._deadlines)
 
     def process_request(self, request: Any, client_address: Any) -> None:
         """Assign a new connection to a dedicated thread or to the pool; refuse it at the limit."""
         if not self._connection_slots.acquire(blocking=False):
-            self._refused += 1
+            self._refused_count += 1
             self.shutdown_request(request)
             self._deadlines.shut_down_longest_idle()
             return
@@ -96,19 +97,19 @@
             not self._dedicated_thread_slots.acquire(blocking=False)
             and self._pooled_connections is not None
         ):
-            self._process_pooled(request, client_address, self._pooled_connections)
+            self._process_pooled_connection(request, client_address, self._pooled_connections)
             return
         try:
             super().process_request(request, client_address)
         except RuntimeError:
-            # The operating system grants no more threads.
-            self._refused += 1
+            # The operating system refuses another thread.
+            self._refused_count += 1
             self._dedicated_thread_slots.release()
             self._connection_slots.release()
             self.shutdown_request(request)
 
     def process_request_thread(self, request: Any, client_address: Any) -> None:
-        """Serve a connection in a thread of its own until it ends."""
+        """Serve a connection on its dedicated thread until it ends."""
         self._deadlines.mark_idle(request)
         try:
             super().process_request_thread(request, client_address)
@@ -117,7 +118,7 @@
             self._dedicated_thread_slots.release()
             self._connection_slots.release()
 
-    def _process_pooled(
+    def _process_pooled_connection(
         self,
         request: Any,
         client_address: Any,
@@ -133,11 +134,11 @@
         self._deadlines.mark_idle(request)
         pooled_connections.add(handler)
 
-    def _close_pooled(self, handler: PooledRequestHandler) -> None:
+    def _close_pooled_connection(self, handler: PooledRequestHandler) -> None:
         try:
             handler.close()
         except OSError:
-            # What was still to be sent has no receiver any more.
+            # The client has closed the connection before all buffered data was sent.
             self.handle_error(handler.connection, handler.client_address)
         finally:
             self.shutdown_request(handler.connection)
@@ -145,29 +146,32 @@
             self._connection_slots.release()
 
     def service_actions(self) -> None:
-        """Check deadlines; called after each connection and a few times a second without any."""
+        """Shut down expired connections and log refused ones, about once a second.
+
+        ``socketserver`` calls this after each new connection and every ``POLL_INTERVAL_S``.
+        """
         now = time.monotonic()
-        if now < self._next_check:
+        if now < self._next_deadline_check:
             return
-        self._next_check = now + DEADLINE_CHECK_S
+        self._next_deadline_check = now + DEADLINE_CHECK_S
         self._deadlines.shut_down_expired(now)
-        if self._refused and now >= self._next_log:
-            self._next_log = now + LOG_INTERVAL_S
+        if self._refused_count and now >= self._next_refusal_log:
+            self._next_refusal_log = now + LOG_INTERVAL_S
             log.warning(
                 "connections refused listener=%s refused=%d open=%d limit=%d",
                 self._name,
-                self._refused,
+                self._refused_count,
                 self.connection_count(),
                 self._max_connections,
             )
-            self._refused = 0
+            self._refused_count = 0
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Log at level debug: connections that break off or time out are everyday events."""
+        """Log at level debug: broken and timed out connections are normal."""
         log.debug("connection failed client=%s", client_address, exc_info=True)
 
     def start(self) -> None:
-        """Accept connections in a thread of their own."""
+        """Start a thread that accepts connections."""
         threading.Thread(
             target=self.serve_forever,
             kwargs={"poll_interval": POLL_INTERVAL_S},
@@ -176,7 +180,7 @@
         ).start()
 
     def stop(self) -> None:
-        """Stop accepting, release the address and end the open connections."""
+        """Stop accepting connections, release the address and shut down all connections."""
         self.shutdown()
         self.server_close()
         self._deadlines.shut_down_all()
--- a/appleshift/transport/thread_pool.py
+++ b/appleshift/transport/thread_pool.py
@@ -1,4 +1,4 @@
-"""A bounded pool of threads that carries out calls."""
+"""Bounded thread pool."""
 
 from __future__ import annotations
 
@@ -13,60 +13,63 @@
 
 
 class ThreadPool:
-    """At most ``size`` threads that carry out calls; each is started when it is needed."""
+    """Executes calls on up to ``max_threads`` threads, which are started on demand."""
 
-    def __init__(self, runtime: Runtime, name: str, size: int) -> None:
-        """``name`` begins the names of the threads and stands in log lines."""
+    def __init__(self, runtime: Runtime, name: str, max_threads: int) -> None:
+        """Create a pool without threads; ``name`` is used in thread names and log lines."""
         self._runtime = runtime
         self._name = name
-        self._size = size
-        self._started = 0
-        self._idle = 0
+        self._max_threads = max_threads
+        self._thread_count = 0
+        self._idle_threads = 0
         self._lock = threading.Lock()
-        self._calls = runtime.queue()
+        self._queued_calls = runtime.queue()
         self._stopped = False
 
     def submit(self, call: Callable[..., None], *args: Any) -> None:
-        """Have a thread execute ``call(*args)``; ignored once the pool is stopped.
+        """Queue ``call(*args)`` for a thread of the pool; ignored after ``stop``.
 
-        Never blocks. Its result is dropped; an exception is logged.
+        Never blocks. The call's result is discarded, and its exception is logged.
         """
         if self._stopped:
             return
-        self._calls.put((call, args))
+        self._queued_calls.put((call, args))
         with self._lock:
-            if self._idle >= self._calls.qsize() or self._started >= self._size:
+            if (
+                self._idle_threads >= self._queued_calls.qsize()
+                or self._thread_count >= self._max_threads
+            ):
                 return
-            self._started += 1
-            number = self._started
+            self._thread_count += 1
+            number = self._thread_count
         try:
             self._runtime.spawn(f"{self._name}-{number}", self._run)
         except RuntimeError:
-            # The operating system grants no more threads. The caller, often the scheduler's
-            # loop, must not fail for it: the call waits for a thread that is running, or for
-            # the next call that tries to start one.
+            # The operating system refuses another thread. That must not fail the caller, which
+            # is often the scheduler's loop: the call stays queued until a running thread takes
+            # it, or until a later call starts a thread.
             with self._lock:
-                self._started -= 1
+                self._thread_count -= 1
             log.warning("thread pool cannot grow pool=%s threads=%d", self._name, number - 1)
 
     def stop(self) -> None:
-        """Drop the calls that wait; those under way end by their own timeouts."""
+        """Discard the queued calls; running calls end by their own timeouts."""
         self._stopped = True
-        for _ in range(self._size):
-            self._calls.put(None)
+        for _ in range(self._max_threads):
+            self._queued_calls.put(None)
 
     def _run(self) -> None:
         while not self._stopped:
             with self._lock:
-                self._idle += 1
-            entry = self._calls.get()
+                self._idle_threads += 1
+            entry = self._queued_calls.get()
             with self._lock:
-                self._idle -= 1
+                self._idle_threads -= 1
             if entry is None:
                 return
             call, args = entry
             try:
                 call(*args)
             except Exception:
-                # The thread serves other callers as well, so one failed call must not end it.
+                # The thread also serves other callers, so a failed call must not end it.
                 log.exception("pooled call failed pool=%s", self._name)
--- a/run.py
+++ b/run.py
@@ -1,8 +1,8 @@
-"""Start appleshift from a checkout, with the libraries the build put under ``target/``.
+"""Start appleshift from a checkout, with the libraries that the build installed in ``target/``.
 
-Controllers may write nowhere but ``/tmp``, so Python could never store the
-compiled modules and each start would pay for compiling them again. The build
-therefore runs this file once; it keeps the compiled modules under ``target/``.
+A controller can write only to ``/tmp``, so Python could not store compiled modules and every
+start would compile them again. The build therefore runs this file once, which stores the
+compiled modules in ``target/pycache``.
 """
 
 import sys
