--- a/appleshift/cli.py
+++ b/appleshift/cli.py
@@ -32,16 +32,16 @@
 EXIT_USAGE = 2
 """Exit code for invalid arguments or settings."""
 
-LISTEN_RETRY_S = 0.1
+LISTEN_RETRY_INTERVAL_S = 0.1
 """Seconds before binding an address that is in use is retried."""
-LOG_REPEAT_S = 30.0
+LISTEN_LOG_INTERVAL_S = 30.0
 """Least seconds between two log lines about an address in use."""
 QUERY_TIMEOUT_S = 5.0
 """Timeout of one request to a node, in seconds."""
 COUNTED_RESOURCES_TIMEOUT_S = 30.0
 """Seconds for which requests of the command ``seats`` are retried after status 503. Nodes send
 it while there is no leader, and if pages are requested too fast."""
-COUNTED_RESOURCES_RETRY_S = 0.5
+COUNTED_RESOURCES_RETRY_INTERVAL_S = 0.5
 """Seconds before a request of the command ``seats`` is retried after status 503."""
 
 
@@ -129,12 +129,12 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            if time.monotonic() - logged_at > LOG_REPEAT_S:
+            if time.monotonic() - logged_at > LISTEN_LOG_INTERVAL_S:
                 logging.warning("waiting for an address that is in use error=%s", error)
                 logged_at = time.monotonic()
         else:
             return True
-        if stopped.wait(LISTEN_RETRY_S):
+        if stopped.wait(LISTEN_RETRY_INTERVAL_S):
             return False
 
 
@@ -232,7 +232,7 @@
         status, body = _query(address, path)
         if status != 503 or time.monotonic() > deadline:
             return status, body
-        time.sleep(COUNTED_RESOURCES_RETRY_S)
+        time.sleep(COUNTED_RESOURCES_RETRY_INTERVAL_S)
 
 
 def _print_entry(entry: Any, to_text: Callable[[Any], str], as_json: bool) -> None:
--- a/appleshift/transport/server.py
+++ b/appleshift/transport/server.py
@@ -20,9 +20,9 @@
 
 log = logging.getLogger(__name__)
 
-DEADLINE_CHECK_S = 1.0
+DEADLINE_CHECK_INTERVAL_S = 1.0
 """Seconds between two checks for expired connections."""
-LOG_INTERVAL_S = 30.0
+REFUSAL_LOG_INTERVAL_S = 30.0
 """Least seconds between two log lines about refused connections."""
 POLL_INTERVAL_S = 0.5
 """Most seconds between two calls of ``service_actions`` without new connections."""
@@ -153,10 +153,10 @@
         now = time.monotonic()
         if now < self._next_deadline_check:
             return
-        self._next_deadline_check = now + DEADLINE_CHECK_S
+        self._next_deadline_check = now + DEADLINE_CHECK_INTERVAL_S
         self._deadlines.shut_down_expired(now)
         if self._refused_count and now >= self._next_refusal_log:
-            self._next_refusal_log = now + LOG_INTERVAL_S
+            self._next_refusal_log = now + REFUSAL_LOG_INTERVAL_S
             log.warning(
                 "connections refused listener=%s refused=%d open=%d limit=%d",
                 self._name,
