--- a/appleshift/counted_resources/scheduler_part.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -20,12 +20,12 @@
 from appleshift.protocol.counted_resources import (
     CountedResourceDefinition,
     CountedResourceRules,
-    from_record,
-    to_record,
+    definition_from_record,
+    definition_to_record,
 )
 from appleshift.protocol.license_server import ReservationReply
 from appleshift.protocol.operator import OperatorSettings
-from appleshift.protocol.wire import MAX_BODY, json_size
+from appleshift.protocol.wire import MAX_BODY_BYTES, json_size
 from appleshift.state.entities import Job
 from appleshift.state.states import OPEN
 from appleshift.storage import records
@@ -65,9 +65,9 @@
                 None if server is None else LicenseReservation(definition.name, server, token)
             )
             self.define(definition, reservation)
-            if replayer.counted_resources.get(definition.name) != to_record(definition):
+            if replayer.counted_resources.get(definition.name) != definition_to_record(definition):
                 record = records.counted_resource_record(
-                    definition.name, to_record(definition), wall
+                    definition.name, definition_to_record(definition), wall
                 )
                 write_ahead_log.append(record)
         for name in replayer.counted_resources.keys() - set(self.names.names):
@@ -84,9 +84,9 @@
     def end_recovery(self) -> None:
         """After that: what the servers may not know to be given back."""
         reservations = [each.reservation for each in self.resources if each.reservation is not None]
-        for name, attempt in self.audit_log.returns() if reservations else ():
+        for name, attempt in self.audit_log.returned_attempts() if reservations else ():
             for reservation in reservations:
-                reservation.returned_before(holder_name(name, attempt))
+                reservation.add_unconfirmed_return(holder_name(name, attempt))
 
     # -- passes ------------------------------------------------------------------------
 
@@ -96,7 +96,9 @@
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
         """By job index: how many of its tasks can hold what they need at once."""
-        return self.allocate([job for job in jobs if job.counted_needs and job.status == OPEN])[0]
+        return self.plan_allocation(
+            [job for job in jobs if job.counted_needs and job.status == OPEN]
+        )[0]
 
     # -- time --------------------------------------------------------------------------
 
@@ -105,14 +107,14 @@
         if now < self._next_look:
             return False
         self._next_look = now + LOOK_S
-        return bool(self.waiting)
+        return bool(self.waiting_since)
 
     def reservation_requests(self, now: float) -> list[PendingReservationRequest]:
         """Heartbeats to license servers that are due."""
         served = [
             (number, resource.reservation)
             for number, resource in enumerate(self.resources)
-            if resource.reservation is not None and resource.reservation.may_ask(now)
+            if resource.reservation is not None and resource.reservation.may_send_request(now)
         ]
         if not served:
             return []
@@ -146,14 +148,14 @@
         # Time 0: no change, so no entry of the audit.
         """Records that define the resources, for a snapshot."""
         return [
-            records.counted_resource_record(each.name, to_record(each.definition), 0.0)
+            records.counted_resource_record(each.name, definition_to_record(each.definition), 0.0)
             for each in self.resources
             if each.definition is not None
         ]
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
         """Entries of the audit that no stored page holds yet."""
-        self.audit_log.saved(self._write_ahead_log.header.audit_pages[2])
+        self.audit_log.drop_saved_entries(self._write_ahead_log.header.audit_pages[2])
         return list(self.audit_log.tail)
 
     @property
@@ -165,12 +167,12 @@
 
     def view(self, now: float) -> dict[str, Any]:
         """All resources, for operators."""
-        rows = [self.ledger_view(number, now) for number in range(len(self.resources))]
+        rows = [self.truncated_resource_view(number, now) for number in range(len(self.resources))]
         return {"resources": rows, "starving_after_s": self.rules.starve_s}
 
-    def ledger_view(self, number: int, now: float) -> dict[str, Any]:
+    def truncated_resource_view(self, number: int, now: float) -> dict[str, Any]:
         """One resource as the ledger shows it, with what waits for it."""
-        row = self.view_of(number, now)
+        row = self.resource_view(number, now)
         most = max(1, MAX_SHOWN // max(1, len(self.resources)))
         row["jobs_not_shown"] = max(0, len(row["jobs"]) - most)
         row["jobs"] = row["jobs"][:most]
@@ -180,17 +182,17 @@
         """The audit's entries above a number that no page holds yet, as many as an
         answer takes, and which pages hold what came before."""
         first, following, written = self._write_ahead_log.header.audit_pages
-        self.audit_log.saved(written)
+        self.audit_log.drop_saved_entries(written)
         entries: list[list[Any]] = []
         size = 0
         for entry in self.audit_log.tail:
             if entry[0] <= after:
                 continue
             size += json_size(entry)
-            if size > MAX_BODY // 2 and entries:
+            if size > MAX_BODY_BYTES // 2 and entries:
                 break
             entries.append(entry)
-        more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next
+        more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next_number
         return {"pages": [first, following], "entries": entries, "more": more}
 
 
@@ -207,7 +209,7 @@
     return trail
 
 
-def build(
+def create_counted_resources(
     operator: OperatorSettings,
     replayer: LogReplayer,
     write_ahead_log: WriteAheadLog,
@@ -222,7 +224,9 @@
     rules = operator.seat_rules or CountedResourceRules()
     definitions = list(operator.seats)
     if not definitions and not rules.off:
-        definitions = [from_record(record) for record in replayer.counted_resources.values()]
+        definitions = [
+            definition_from_record(record) for record in replayer.counted_resources.values()
+        ]
         if definitions:
             log.info("counting %d resources as the log has them", len(definitions))
     if rules.off:
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from appleshift.counted_resources.license_reservation import LicenseReservation
-from appleshift.protocol.counted_resources import CountedResourceDefinition, requested_counts
+from appleshift.protocol.counted_resources import CountedResourceDefinition, parse_requested_counts
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
 from appleshift.state.cluster_state import ClusterState
@@ -29,7 +29,15 @@
 class CountedResource:
     """One counted resource."""
 
-    __slots__ = ("definition", "guarantee", "held", "name", "reservation", "team_limits", "teams")
+    __slots__ = (
+        "definition",
+        "held",
+        "held_by_team",
+        "name",
+        "reservation",
+        "team_guarantees",
+        "team_limits",
+    )
 
     def __init__(
         self,
@@ -44,13 +52,13 @@
         self.definition = definition
         self.reservation = reservation
         self.held = 0
-        self.teams = [0] * len(cluster.teams)
+        self.held_by_team = [0] * len(cluster.teams)
         self.team_limits = [0] * len(cluster.teams)
-        self.guarantee = [0] * len(cluster.teams)
+        self.team_guarantees = [0] * len(cluster.teams)
         for team in definition.teams if definition is not None else ():
             number = cluster.team_names.get(team.name)
             if number >= 0:
-                self.team_limits[number], self.guarantee[number] = team.most, team.guarantee
+                self.team_limits[number], self.team_guarantees[number] = team.most, team.guarantee
 
     @property
     def total(self) -> int:
@@ -63,34 +71,34 @@
             return self.total
         return min(self.total, self.reservation.capacity(now, self.total))
 
-    def planning(self) -> int:
+    def planning_capacity(self) -> int:
         """Units that machines are worth renting for."""
-        if self.reservation is None or self.reservation.standing is None:
+        if self.reservation is None or self.reservation.last_reply is None:
             return self.total
-        standing = self.reservation.standing
+        standing = self.reservation.last_reply
         return min(self.total, max(standing.reserved, standing.total - standing.others))
 
     def free(self, now: float) -> int:
         """Below 0 while a lowered total or a silent server leaves too little."""
-        pending = 0 if self.reservation is None else self.reservation.pending()
+        pending = 0 if self.reservation is None else self.reservation.pending_returns()
         return self.capacity(now) - self.held - pending
 
-    def room(self, team: int) -> int:
+    def remaining_for_team(self, team: int) -> int:
         """What a team's own limit leaves."""
         most = self.team_limits[team]
-        return max(0, most - self.teams[team]) if most else self.total
+        return max(0, most - self.held_by_team[team]) if most else self.total
 
-    def borrows(self, team: int, more: int = 0) -> int:
+    def units_over_guarantee(self, team: int, more: int = 0) -> int:
         """How far beyond its guarantee a team is, or would be."""
-        return self.teams[team] + more - self.guarantee[team]
+        return self.held_by_team[team] + more - self.team_guarantees[team]
 
 
 @dataclass(slots=True)
 class Commitment:
     """What was stopped for a job is its own, until some time."""
 
-    until: float
-    needs: dict[int, int]
+    expires_at: float
+    units: dict[int, int]
 
 
 class Ledger:
@@ -103,11 +111,11 @@
         self.resources: list[CountedResource] = []
         # Jobs of which some task holds a unit, and of which some waits for one:
         # since when.
-        self.holding: dict[int, Job] = {}
-        self.waiting: dict[int, float] = {}
+        self.jobs_with_units: dict[int, Job] = {}
+        self.waiting_since: dict[int, float] = {}
         # By job: since when its units were there for the asking, without a machine.
-        self.ready: dict[int, float] = {}
-        self.promises: dict[int, Commitment] = {}
+        self.ready_since: dict[int, float] = {}
+        self.commitments: dict[int, Commitment] = {}
 
     def define(
         self, definition: CountedResourceDefinition, reservation: LicenseReservation | None
@@ -124,7 +132,7 @@
     def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         """What each task of a job holds: (resource index, count)."""
         try:
-            wanted = requested_counts(spec.counted_resources)
+            wanted = parse_requested_counts(spec.counted_resources)
         except ProtocolError:
             # Accepted while nothing was counted, so it was never read.
             return ()
@@ -140,20 +148,20 @@
         """How many of a job's tasks can ever hold what they need at once."""
         tasks = spec.tasks
         for number, count in self.needs_of(spec):
-            tasks = min(tasks, self.resources[number].planning() // count)
+            tasks = min(tasks, self.resources[number].planning_capacity() // count)
         return tasks
 
     def assigned(self, run: TaskRun) -> None:
         """A task run was assigned and holds its units from now on."""
         job = run.job
-        self.holding[job.index] = job
-        promise = self.promises.get(job.index)
+        self.jobs_with_units[job.index] = job
+        commitment = self.commitments.get(job.index)
         for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held += count
-            if promise is not None:
-                promise.needs[number] = max(0, promise.needs.get(number, 0) - count)
-            resource.teams[job.team] += count
+            if commitment is not None:
+                commitment.units[number] = max(0, commitment.units.get(number, 0) - count)
+            resource.held_by_team[job.team] += count
             if resource.reservation is not None:
                 resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
 
@@ -161,11 +169,11 @@
         """A task run is certainly gone; its units are free."""
         job = run.job
         if not job.runs:
-            self.holding.pop(job.index, None)
+            self.jobs_with_units.pop(job.index, None)
         for number, count in job.counted_needs:
             resource = self.resources[number]
             resource.held -= count
-            resource.teams[job.team] -= count
+            resource.held_by_team[job.team] -= count
             if resource.reservation is not None:
                 # A start that never left this process left no trace anywhere.
                 started = run.assignment_durable or not run.ordered_this_term
@@ -176,7 +184,7 @@
     def rejection(self, spec: Submission) -> tuple[int, str] | None:
         """HTTP status and reason if a submission can never get what it asks for; else None."""
         try:
-            wanted = requested_counts(spec.counted_resources)
+            wanted = parse_requested_counts(spec.counted_resources)
         except ProtocolError as error:
             return error.status, error.reason
         team = self.cluster.team_names.get(spec.team)
@@ -196,18 +204,18 @@
     def holders(self, number: int) -> list[tuple[Job, int]]:
         """Jobs that hold units of a resource, and how many."""
         found = []
-        for job in self.holding.values():
+        for job in self.jobs_with_units.values():
             count = dict(job.counted_needs).get(number, 0) * len(job.runs)
             if count:
                 found.append((job, count))
         return found
 
-    def allocate(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
+    def plan_allocation(self, jobs: list[Job]) -> tuple[dict[int, int], Counter[int]]:
         """Units for jobs in their order of urgency, those that hold some first.
 
         Returns tasks by job and units by resource: what can be in use at once.
         """
-        left = [resource.planning() for resource in self.resources]
+        left = [resource.planning_capacity() for resource in self.resources]
         team_left = [
             [most or resource.total for most in resource.team_limits] for resource in self.resources
         ]
@@ -231,12 +239,12 @@
                 tasks_of[job.index] = tasks_of.get(job.index, 0) + most
         return tasks_of, used
 
-    def view_of(self, number: int, now: float) -> dict[str, Any]:
+    def resource_view(self, number: int, now: float) -> dict[str, Any]:
         """One resource, for operators."""
         resource = self.resources[number]
         waiting = sum(
             len(job.pending) * dict(job.counted_needs).get(number, 0)
-            for index in self.waiting
+            for index in self.waiting_since
             if (job := self.cluster.jobs.get(index)) is not None
         )
         names = self.cluster.team_names.names
@@ -253,12 +261,14 @@
             "teams": [
                 {
                     "name": name,
-                    "held": resource.teams[team],
+                    "held": resource.held_by_team[team],
                     "most": resource.team_limits[team],
-                    "guarantee": resource.guarantee[team],
+                    "guarantee": resource.team_guarantees[team],
                 }
                 for team, name in enumerate(names)
-                if resource.teams[team] or resource.team_limits[team] or resource.guarantee[team]
+                if resource.held_by_team[team]
+                or resource.team_limits[team]
+                or resource.team_guarantees[team]
             ],
             "jobs": [list(row) for row in holders],
         }
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -117,7 +117,11 @@
             runtime,
         )
         self.worker_calls = WorkerCalls(
-            self._post, connect, runtime, thread_count=limits.calls, max_clients=limits.clients
+            self._post,
+            connect,
+            runtime,
+            thread_count=limits.worker_calls,
+            max_clients=limits.worker_clients,
         )
         self.cloud_calls = CloudCalls(
             self._post,
@@ -167,7 +171,7 @@
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
                 post=self._post,
-                load=lambda: self._events.qsize() / limits.max_queued,
+                load=lambda: self._events.qsize() / limits.max_queued_events,
                 is_worker_reachable=self.worker_calls.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
@@ -346,7 +350,7 @@
             if scheduler.sharding is None:
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
-        self._load_monitor.round_finished(
+        self._load_monitor.record_round(
             started_at, self.runtime.now(), handled, self._connection_count()
         )
         if handled:
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -124,7 +124,9 @@
             job.cancel_durable = True
             self._remove_divided_job(job)
             for reply_to in self._cancel_replies.pop(job_id, ()):
-                scheduler.reply_if_pending(reply_to, 200, users.state_body(job_id, users.CANCELLED))
+                scheduler.reply_if_pending(
+                    reply_to, 200, users.acknowledgement_body(job_id, users.CANCELLED)
+                )
             scheduler.job_cancelled(job)
 
         scheduler.append_records([records.cancel_record(job)], durable)
@@ -177,7 +179,7 @@
             reported_done = (
                 partition_tasks
                 if partition_status.state == FINISHED
-                else from_ranges(partition_status.done)
+                else from_ranges(partition_status.done_ranges)
             )
             done = [
                 task for task in reported_done if task in partition_tasks and not job.done[task]
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -13,10 +13,10 @@
 
 from appleshift.contracts.interfaces import CapacityNeed
 from appleshift.protocol.sharding import (
-    GONE,
-    LEAVING,
-    MOVED,
-    UP,
+    REPORTED_DRAINING,
+    REPORTED_GONE,
+    REPORTED_MOVED,
+    REPORTED_UP,
     FleetPlan,
     MachineSummary,
     ShardSummary,
@@ -83,7 +83,7 @@
         for machine in cluster.machines.values():
             if machine.status != MACHINE_UP:
                 continue
-            state = UP if machine.schedulable() else LEAVING
+            state = REPORTED_UP if machine.schedulable() else REPORTED_DRAINING
             idle = not machine.runs and not machine.unknown_runs
             if self._acknowledged.get(machine.name) != (state, idle):
                 kind, zone = (
@@ -95,7 +95,7 @@
                 break
         gone = [name for name in self._acknowledged if cluster.machine(name) is None]
         for name in gone[:MAX_MACHINES_PER_CALL]:
-            state = MOVED if name in cluster.handed_off else GONE
+            state = REPORTED_MOVED if name in cluster.handed_off else REPORTED_GONE
             changed.append(MachineSummary(name, "", "", False, state, False))
         self._in_flight = {each.name: (each.state, each.idle) for each in changed}
         self._evicted_in_flight = set(self._evicted)
@@ -121,7 +121,7 @@
         """Apply the leader's reply to a summary: machine types, transfers, machines to return."""
         scheduler, cluster = self._scheduler, self._scheduler.cluster
         for name, reported in self._in_flight.items():
-            if reported[0] in (GONE, MOVED):
+            if reported[0] in (REPORTED_GONE, REPORTED_MOVED):
                 self._acknowledged.pop(name, None)
             else:
                 self._acknowledged[name] = reported
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appleshift.contracts.interfaces import LeaseHolder, ShardingView
+from appleshift.contracts.interfaces import LeaderLeaseView, ShardingView
 from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resource_interfaces import CountedResources
@@ -63,7 +63,7 @@
 
 def create_scheduler(
     context: NodeContext,
-    lease: LeaseHolder,
+    lease: LeaderLeaseView,
     term: LeaderTerm,
     recovered: RecoveredTerm,
     now: float,
@@ -124,9 +124,9 @@
     if term.shard or (not context.operator.seats and not replayer.counted_resources):
         return None
     # Imported only where resources are counted.
-    from appleshift.counted_resources.scheduler_part import build
+    from appleshift.counted_resources.counted_resource_scheduler import create_counted_resources
 
-    return build(
+    return create_counted_resources(
         context.operator,
         replayer,
         write_ahead_log,
