--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -50,7 +50,7 @@
         deadline = context.runtime.now() + ELECTION_WAIT_S
         while True:
             leader = replica.election.current_leader()
-            if leader == replica.election.name and context.is_entitled(replica):
+            if leader == replica.election.node_name and context.is_entitled(replica):
                 return self._route(request)
             client = context.peer_clients.get(leader) if leader else None
             if client is not None:
@@ -65,7 +65,9 @@
         try:
             body = request.body if request.method == "POST" else None
             sent_at = self._context.runtime.now()
-            answer = client.request_full(request.method, request.path, body, FORWARD_TIMEOUT_S)
+            answer = client.request_with_headers(
+                request.method, request.path, body, FORWARD_TIMEOUT_S
+            )
         except ClientError as error:
             log.debug("forward failed leader=%s path=%s error=%s", leader, request.path, error)
             return unavailable()
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -14,9 +14,9 @@
 from appleshift.api.context import ApiContext
 from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import SchedulerReply, respond, unavailable
-from appleshift.leader_election.leader_lease import CLOCK_DRIFT
+from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.protocol import users
-from appleshift.transport.client import HttpAnswer
+from appleshift.transport.client import HttpResponse
 from appleshift.transport.http_messages import Response
 
 VALID_FOR_HEADER = "Valid-For-Ms"
@@ -61,14 +61,14 @@
         headers = {**response.headers, VALID_FOR_HEADER: str(int(valid_for_s * 1000))}
         return Response(response.status, response.body, headers)
 
-    def forwarded_response(self, answer: HttpAnswer, asked_at: float) -> Response:
+    def forwarded_response(self, answer: HttpResponse, asked_at: float) -> Response:
         """A peer's answer to a request sent to it at ``asked_at``, while it is valid."""
         headers = {"Retry-After": answer.retry_after} if answer.retry_after else {}
         valid_for_ms = answer.valid_for_ms
         if valid_for_ms is None or not valid_for_ms.isdecimal():
             # A final state, a refusal, or a peer of a version that does not send the header.
             return Response(answer.status, answer.body, headers)
-        valid_until = asked_at + int(valid_for_ms) / 1000 / CLOCK_DRIFT
+        valid_until = asked_at + int(valid_for_ms) / 1000 / CLOCK_DRIFT_RATIO
 
         def revalidate(received: Response) -> Response:
             return received if self._context.runtime.now() < valid_until else unavailable()
--- a/appleshift/machines/cloud_inventory.py
+++ b/appleshift/machines/cloud_inventory.py
@@ -78,7 +78,7 @@
             machine.rented_at = min(machine.rented_at, now - row.age_s)
         failed = row.state == cloud.FAILED and not machine.deletion_requested
         if failed and may_delete(machine):
-            self._fleet.evict_group(machine)
+            self._fleet.evict_spot_group(machine)
             self._fleet.delete(machine, "failed")
 
     def _delete_missing(self, listed_names: set[str]) -> None:
@@ -90,12 +90,12 @@
                 continue
             if not may_delete(machine):
                 continue
-            heard_recently = machine.last_heard > now - HEARTBEAT_AGE_LAGS * lag_s
+            heard_recently = machine.last_contact_at > now - HEARTBEAT_AGE_LAGS * lag_s
             old = now - machine.rented_at > MIN_AGE_LAGS * lag_s + MIN_AGE_MARGIN_S
             if heard_recently or not old:
                 continue
             # The cloud has reclaimed the machine, or it never existed. Deleting an unknown
             # name is harmless, and the response proves that the machine's tasks are gone.
             if machine.listed_at is None or now - machine.listed_at > MISSING_LAGS * lag_s:
-                self._fleet.evict_group(machine)
+                self._fleet.evict_spot_group(machine)
                 self._fleet.delete(machine, "no longer listed")
--- a/appleshift/machines/fault_detection.py
+++ b/appleshift/machines/fault_detection.py
@@ -51,8 +51,10 @@
             # The job failed on several machines and succeeded on none: the job is faulty.
             self._back_off_job(job)
             return
-        machine.job_errors[job.index] = now
-        recent_failures = [at for at in machine.job_errors.values() if at > now - ERROR_WINDOW_S]
+        machine.last_failure_by_job[job.index] = now
+        recent_failures = [
+            at for at in machine.last_failure_by_job.values() if at > now - ERROR_WINDOW_S
+        ]
         if len(recent_failures) >= self._scheduler.operator.sick_jobs and not machine.quarantined:
             log.info(
                 "machine quarantined machine=%s reason=failures failed_jobs=%d",
@@ -64,9 +66,9 @@
     def _back_off_job(self, job: Job) -> None:
         """Delay a faulty job and stop counting its failures against machines."""
         job.backoff_s = min(MAX_JOB_BACKOFF_S, max(1.0, job.backoff_s * 2))
-        job.not_before = self._scheduler.now + job.backoff_s
+        job.backoff_until = self._scheduler.now + job.backoff_s
         for machine in self._cluster.machines.values():
-            machine.job_errors.pop(job.index, None)
+            machine.last_failure_by_job.pop(job.index, None)
 
     def task_completed(self, machine: Machine, job: Job, seconds: float) -> None:
         """Compare a task's duration with its job's average; quarantine the machine if slow.
@@ -78,8 +80,8 @@
             total_s = max(job.completed_run_s, 1e-3)
             ratio = min(MAX_SLOWNESS, seconds * job.completed_runs / total_s)
             machine.slowness += (ratio - machine.slowness) * SLOWNESS_WEIGHT
-            machine.slow_count += 1
-            if machine.slow_count >= MIN_COMPARED_RUNS and machine.slowness > SLOWNESS_LIMIT:
+            machine.slowness_samples += 1
+            if machine.slowness_samples >= MIN_COMPARED_RUNS and machine.slowness > SLOWNESS_LIMIT:
                 log.info(
                     "machine quarantined machine=%s reason=slow slowness=%.1f",
                     machine.name,
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -100,10 +100,13 @@
             if machine.status != UP or machine.deletion_requested or machine.in_other_shard:
                 continue
             up[machine.zone] = up.get(machine.zone, 0) + 1
-            if now - machine.last_heard <= new_leader_probe_s and not machine.commands_lost_since:
+            if (
+                now - machine.last_contact_at <= new_leader_probe_s
+                and not machine.commands_unconfirmed_since
+            ):
                 # Fast path for nearly all machines in every check.
                 continue
-            heard_this_term = machine.last_heard >= self._started
+            heard_this_term = machine.last_contact_at >= self._started
             if self._silent_for_s(machine, now) > (
                 probe_s if heard_this_term else new_leader_probe_s
             ):
@@ -141,7 +144,7 @@
         for machine in machines:
             machine_silent_s = self._silent_for_s(machine, now)
             if may_be_lost and self._is_lost(machine, machine_silent_s, silent_s, now):
-                self._fleet.evict_group(machine)
+                self._fleet.evict_spot_group(machine)
                 self._fleet.delete(machine, f"silent for {machine_silent_s:.1f} s")
             elif (
                 machine.addr
@@ -159,7 +162,9 @@
 
         Only time in this term and since its zone was last unreachable counts.
         """
-        last_contact = min(machine.commands_lost_since or machine.last_heard, machine.last_heard)
+        last_contact = min(
+            machine.commands_unconfirmed_since or machine.last_contact_at, machine.last_contact_at
+        )
         since = max(last_contact, self._started, self._zones.reachable_again_at(machine.zone))
         return now - since
 
@@ -174,7 +179,7 @@
             # The machine's tasks can start elsewhere when its lease expires. Once the zone is
             # reachable again, the machine is available with all its images.
             return self._zones.is_past_retention(machine.zone, now) and machine.empty()
-        heard_this_term = machine.last_heard >= self._started
+        heard_this_term = machine.last_contact_at >= self._started
         probes = LOST_PROBES if heard_this_term else LOST_PROBES_NEW_LEADER
         if machine_silent_s > silent_s and machine.unanswered_probes >= probes:
             return True
@@ -216,7 +221,7 @@
         machine = self._cluster.machine(name)
         if machine is not None:
             machine.probe_in_flight = False
-            self._scheduler.liveness.command_result(machine, answered)
+            self._scheduler.liveness.record_command_result(machine, answered)
 
     # -- zones --------------------------------------------------------------------------
 
--- a/appleshift/machines/liveness.py
+++ b/appleshift/machines/liveness.py
@@ -49,7 +49,7 @@
         # answer to a probe may show a new epoch before its first heartbeat arrives. Heartbeats
         # of a new epoch were once treated as copies and renewed no lease.
         position = (heartbeat.agent_epoch, heartbeat.seq)
-        if position <= machine.last_heartbeat:
+        if position <= machine.last_heartbeat_id:
             return False
         now = self._scheduler.now
         if machine.last_heartbeat_at > -math.inf:
@@ -59,8 +59,8 @@
             # must first show that commands reach it.
             commands_arrive = machine.status == UP
         self._update_reachability(machine, now, commands_arrive)
-        machine.last_heartbeat = position
-        machine.heartbeats_lost = False
+        machine.last_heartbeat_id = position
+        machine.without_heartbeats = False
         if not commands_arrive and heartbeat.addr and not machine.probe_in_flight:
             machine.probe_in_flight = True
             self._scheduler.actions.append(ProbeMachine(machine.name, heartbeat.addr))
@@ -71,15 +71,15 @@
         """Record the time of a heartbeat, and whether commands reach its machine."""
         machine.last_heartbeat_at = at
         if commands_arrive:
-            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+            machine.commands_unconfirmed_since = machine.heartbeats_while_unconfirmed = (
                 machine.unanswered_probes
             ) = 0
             return
-        machine.heartbeats_since_unreachable += 1
-        if machine.heartbeats_since_unreachable == 1:
+        machine.heartbeats_while_unconfirmed += 1
+        if machine.heartbeats_while_unconfirmed == 1:
             # Probes left unanswered before this heartbeat do not show that the machine is
             # unreachable now.
-            machine.commands_lost_since, machine.unanswered_probes = at, 0
+            machine.commands_unconfirmed_since, machine.unanswered_probes = at, 0
 
     def apply_fast_path_entry(self, machine: Machine) -> None:
         """Apply the heartbeats that the fast path recorded for a machine.
@@ -96,22 +96,24 @@
             machine.lease_until = max(machine.lease_until, at + self._scheduler.worker_lease_s)
             if at > machine.last_heartbeat_at:
                 self._update_reachability(machine, at, commands_arrive)
-                machine.last_heard = max(machine.last_heard, at)
+                machine.last_contact_at = max(machine.last_contact_at, at)
             if agent_epoch == machine.agent_epoch:
                 machine.seq = max(machine.seq, seq)
-            machine.last_heartbeat = max(machine.last_heartbeat, (agent_epoch, seq))
+            machine.last_heartbeat_id = max(machine.last_heartbeat_id, (agent_epoch, seq))
         # A machine whose heartbeats are lost may still answer probes, but its lease expires.
-        machine.heartbeats_lost = (
+        machine.without_heartbeats = (
             self._scheduler.now - max(machine.last_heartbeat_at, self._started)
             > self._heartbeats_lost_after_s
         )
 
-    def command_result(self, machine: Machine, reached: bool) -> None:
+    def record_command_result(self, machine: Machine, reached: bool) -> None:
         """Record whether a machine answered a direct command or a probe."""
         if reached:
-            machine.commands_lost_since = machine.heartbeats_since_unreachable = (
+            machine.commands_unconfirmed_since = machine.heartbeats_while_unconfirmed = (
                 machine.unanswered_probes
             ) = 0
         else:
             machine.unanswered_probes += 1
-            machine.commands_lost_since = machine.commands_lost_since or self._scheduler.now
+            machine.commands_unconfirmed_since = (
+                machine.commands_unconfirmed_since or self._scheduler.now
+            )
--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -109,10 +109,14 @@
             deployment.state.rps * (STORE_RATE_FRACTION / nodes),
             runtime,
         )
-        self.workers = WorkerCalls(
-            self._post, connect, runtime, thread_count=capacity.calls, max_clients=capacity.clients
+        self.worker_calls = WorkerCalls(
+            self._post,
+            connect,
+            runtime,
+            thread_count=capacity.worker_calls,
+            max_clients=capacity.worker_clients,
         )
-        self.cloud = CloudCalls(
+        self.cloud_calls = CloudCalls(
             self._post,
             connect(split_address(settings.external.cloud)),
             runtime,
@@ -132,15 +136,15 @@
             self._post,
             # Identifies the writes of this process; a restarted one gets another.
             f"{settings.name}.{secrets.token_hex(4)}",
-            self.workers,
-            self.cloud,
+            self.worker_calls,
+            self.cloud_calls,
             self._stop,
         )
 
     def _make_peer_monitoring(self) -> None:
         peer_clients, runtime = self._peer_clients, self.runtime
         self.connectivity = ConnectivityMonitor(
-            self.workers.is_reachable,
+            self.worker_calls.is_reachable,
             lambda: self.store.is_answering,
             lambda: any(each.lease.is_leader for each in [*self.replicas.values()]),
             lambda: self._post(events.HandOverRequested()),
@@ -160,8 +164,8 @@
                 replicas=self.replicas,
                 peer_clients=self._peer_clients,
                 post_event=self._post,
-                queue_load=lambda: self._events.qsize() / limits.max_queued,
-                is_worker_reachable=self.workers.is_reachable,
+                queue_load=lambda: self._events.qsize() / limits.max_queued_events,
+                is_worker_reachable=self.worker_calls.is_reachable,
                 runtime=self.runtime,
                 store=self.store,
                 max_machines=lambda: relay_assignment.max_machines(
@@ -170,7 +174,7 @@
                 own_status=self._own_status,
                 shard_map=self._shard_map,
                 connections_nearly_full=lambda: (
-                    self._connections() > CROWDED_SHARE * limits.connections
+                    self._connection_count() > CROWDED_SHARE * limits.connections
                 ),
                 on_heartbeat=self.connectivity.heartbeat_received,
             )
@@ -220,7 +224,12 @@
         )
         for address, app, limit, threads, name in endpoints[len(self._listeners) :]:
             listener = HttpListener(
-                split_address(address), app, limit, name, threads=threads, pool=POOL_THREADS
+                split_address(address),
+                app,
+                limit,
+                name,
+                dedicated_threads=threads,
+                pool_threads=POOL_THREADS,
             )
             self._listeners.append(listener)
 
@@ -228,7 +237,7 @@
         """Start all threads; ``listen`` has bound the addresses."""
         _set_up_garbage_collector()
         self.runtime.spawn("core", self._run_loop)
-        self.cloud.start()
+        self.cloud_calls.start()
         for listener in self._listeners:
             listener.start()
         self._started = True
@@ -254,13 +263,13 @@
             self._post(events.LeadershipLost(replica.shard))
         for listener in self._listeners:
             listener.stop()
-        self.cloud.stop()
-        self.workers.stop()
+        self.cloud_calls.stop()
+        self.worker_calls.stop()
         self.router.stop()
         if self.shard_map_follower is not None:
             self.shard_map_follower.stop()
-        if self._context.license_servers is not None:
-            self._context.license_servers.stop()
+        if self._context.license_server_calls is not None:
+            self._context.license_server_calls.stop()
 
     def _post(self, event: events.Event) -> None:
         self._events.put(event)
@@ -295,7 +304,7 @@
         first = self.replicas[0]
         leadership, election = first.lease, first.election
         status = peers.PeerStatus(
-            election.name,
+            election.node_name,
             leadership.is_leader,
             leadership.fencing_token,
             leadership.may_answer(now),
@@ -327,11 +336,11 @@
                 for replica in [*self.replicas.values()]:
                     replica.scheduler = replica.term = None
                     replica.election.step_down()
-                self.cloud.set_term(None)
+                self.cloud_calls.set_term(None)
 
     def _run_round(self) -> None:
         replicas = [*self.replicas.values()]
-        busy = any(replica.is_busy() for replica in replicas)
+        busy = any(replica.has_pending_work() for replica in replicas)
         event = self._next_event(BUSY_WAIT_S if busy else IDLE_WAIT_S)
         began = self.runtime.now()
         handled = 0 if event is None else self._handle_waiting(event)
@@ -339,7 +348,7 @@
             replica.run_round()
         if self.shard_map_follower is not None:
             self.shard_map_follower.step(self.runtime.now())
-        elif self._peer_monitor.shard_map_version:
+        elif self._peer_monitor.newest_shard_map_version:
             # A peer follows a shard map that this node has not received.
             self._follow_shard_map()
         scheduler = self.scheduler
@@ -347,7 +356,9 @@
             if scheduler.sharding is None:
                 self._update_relayed_fraction(scheduler, self.runtime.now())
             self._update_worker_sample(scheduler, self.runtime.now())
-        self._load_monitor.round_finished(began, self.runtime.now(), handled, self._connections())
+        self._load_monitor.record_round(
+            began, self.runtime.now(), handled, self._connection_count()
+        )
         if handled:
             # Events that come meanwhile are handled together in the next round: to wake up
             # for a single event costs more than handling it.
@@ -370,8 +381,8 @@
             self._handle(self._events.get_nowait())
         return handled
 
-    def _connections(self) -> int:
-        return self._listeners[-1].connections() if self._listeners else 0
+    def _connection_count(self) -> int:
+        return self._listeners[-1].connection_count() if self._listeners else 0
 
     def _handle(self, event: events.Event) -> None:
         if isinstance(event, events.HandOverRequested):
@@ -392,7 +403,7 @@
             addresses = by_zone.setdefault(machine.zone, [])
             if (
                 machine.addr
-                and now - machine.last_heard < SAMPLE_INTERVAL_S
+                and now - machine.last_contact_at < SAMPLE_INTERVAL_S
                 and len(addresses) < SAMPLE_SIZE
             ):
                 addresses.append(machine.addr)
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -25,7 +25,7 @@
     ``missing`` is the missing capacity in machines of ``on_demand_type``, a type without GPUs.
     """
     cluster = fleet.cluster
-    if fleet.scheduler.sharding is not None or not cluster.spot_gpus_unclaimed():
+    if fleet.scheduler.sharding is not None or not cluster.gpu_jobs_exclude_spot():
         return
     jobs = (shortage.job for shortage in fleet.shortages)
     if not any(job.spec.spot and may_share_gpu_machine(job) for job in jobs):
@@ -85,4 +85,4 @@
         zone = fleet.cluster.zones.get(name)
         if count > 0 and zone >= 0 and fleet.may_rent(type_index, zone, True):
             fleet.rent(type_index, zone, True, count)
-            count -= min(count, cloud.MAX_RENT)
+            count -= min(count, cloud.MAX_MACHINES_PER_RENTAL)
--- a/appleshift/term_recovery.py
+++ b/appleshift/term_recovery.py
@@ -1,4 +1,4 @@
-"""The start of a term: reads a shard's durable state and builds its scheduler from it."""
+"""Starts a term: reads a shard's durable state and creates its scheduler from it."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from appleshift.contracts.interfaces import LeaseHolder, ShardingView
-from appleshift.leader_election.leader_term import LeaderTerm, holder_key
+from appleshift.contracts.interfaces import LeaderLeaseView, ShardingView
+from appleshift.leader_election.leader_term import LeaderTerm, leader_key
 from appleshift.node_context import NodeContext
 from appleshift.placement.counted_resource_interfaces import CountedResources
 from appleshift.protocol.wire import ProtocolError
@@ -16,7 +16,7 @@
 from appleshift.state.cluster_state import ClusterState
 from appleshift.storage.key_value_store import StoreError
 from appleshift.storage.keys import shard_prefix
-from appleshift.storage.records import LogReplayer, RecordFollower
+from appleshift.storage.records import LogReplayer, RecordConsumer
 from appleshift.storage.recovery import RecoveredLog, recover
 from appleshift.storage.write_ahead_log import WriteAheadLog
 from appleshift.transport.client import ClientError
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredTerm:
-    """What was durable when a term began."""
+    """Durable state of a shard, as recovered at the start of a term."""
 
     replayer: LogReplayer
     recovered_log: RecoveredLog
@@ -40,7 +40,7 @@
 def recover_term(
     context: NodeContext, term: LeaderTerm, is_current: Callable[[], bool]
 ) -> RecoveredTerm | None:
-    """Read what is durable, again and again until it succeeds; None once the term is over.
+    """Read a shard's durable state, with retries; return None once the term is over.
 
     Raises CompareFailedError if the shard map shows that the term is over.
     """
@@ -61,14 +61,14 @@
     return None
 
 
-def start_scheduler(
+def create_scheduler(
     context: NodeContext,
-    lease: LeaseHolder,
+    lease: LeaderLeaseView,
     term: LeaderTerm,
     recovered: RecoveredTerm,
     now: float,
 ) -> Scheduler:
-    """Build the scheduler of a term from what was recovered."""
+    """Create the scheduler of a term from the recovered state."""
     write_ahead_log = _resume_log(context, term, recovered, now)
     return Scheduler(
         SchedulerDependencies(
@@ -96,8 +96,8 @@
     write_rps = limits.write_rps * context.operator.write_share / shards
     recovered_log = recovered.recovered_log
     write_ahead_log = WriteAheadLog(
-        leader_key=holder_key(term.shard),
-        leader_version=term.key_version,
+        leader_key=leader_key(term.shard),
+        leader_version=term.leader_key_version,
         term_id=term.term_id,
         write_rps=max(MIN_WRITE_RPS, write_rps),
         value_bytes=int(limits.value_kb * BYTES_PER_KB),
@@ -117,16 +117,16 @@
 def _counted_resources(
     context: NodeContext, term: LeaderTerm, replayer: LogReplayer, write_ahead_log: WriteAheadLog
 ) -> CountedResources | None:
-    """Counted resources, if the operators' file or the log defines any.
+    """Return the counted resources; None unless the operators' file or the log defines any.
 
-    All of them are counted in the first shard, which decides for the jobs that ask for any.
+    The first shard counts all of them, and schedules all jobs that request any.
     """
     if term.shard or (not context.operator.seats and not replayer.counted_resources):
         return None
-    # Loaded only where resources are counted.
-    from appleshift.counted_resources.scheduler_part import build
+    # Imported only where resources are counted.
+    from appleshift.counted_resources.counted_resource_scheduler import create_counted_resources
 
-    return build(
+    return create_counted_resources(
         context.operator,
         replayer,
         write_ahead_log,
@@ -135,9 +135,12 @@
     )
 
 
-def _make_audit_log(written_entries: int) -> RecordFollower:
-    """Follow the audit of counted resources from where their records begin in the log."""
-    # Loaded only where resources are counted.
+def _make_audit_log(written_entries: int) -> RecordConsumer:
+    """Return the audit log, which follows the log from its first counted resource on.
+
+    ``written_entries`` is the number of entries that are already in durable pages.
+    """
+    # Imported only where resources are counted.
     from appleshift.counted_resources.audit_log import AuditLog
 
     return AuditLog(written_entries)
