--- a/appleshift/connectivity/__init__.py
+++ b/appleshift/connectivity/__init__.py
@@ -1,1 +1,1 @@
-"""Which workers and peers a node reaches, and when it hands leadership over for it."""
+"""Monitors which workers a node and its peers can reach, and hands over leadership if needed."""
--- a/appleshift/connectivity/peer_reports.py
+++ b/appleshift/connectivity/peer_reports.py
@@ -1,8 +1,8 @@
-"""What peers say that they reach, compared with what this node reaches. Sans-IO.
+"""Compares the connectivity that peers report with that of this node. Does no I/O.
 
-Why this is safe: it only decides who *tries* to be elected and who gives leadership up.
-Entitlement, fencing tokens, guards and lease votes are as they were, so a wrong verdict, an
-old report or a node that lies costs time and nothing else.
+Why this is safe: it only decides which node *tries* to be elected and which leader hands over.
+It does not affect leader leases, fencing tokens, transaction guards or lease votes, so a wrong
+decision, an old report or a node that reports falsely costs time and nothing else.
 """
 
 from __future__ import annotations
@@ -12,33 +12,35 @@
 from appleshift.connectivity.worker_contacts import MIN_UNINTERRUPTED_S, ContactSummary
 
 REPORT_VALID_S = 2.0
-"""An older report of a peer counts for nothing."""
+"""An older peer report is ignored."""
 MAX_CONTACT_AGE_S = 2.5
-"""A peer that reaches workers had a contact within this: it asks one a second, and its
-report arrives within two thirds of a second."""
+"""Maximum age of the last contact of a peer that reaches workers: it probes a worker every
+second, and its report arrives within two thirds of a second."""
 UNSURE_DELAY_S = 1.8
-"""A node that just missed an answer of a worker waits this long for peers' reports: they ask
-a worker a second, and their status arrives twice in that time."""
+"""How long a node with an unanswered probe waits for peers' reports before its candidacy: peers
+probe a worker every second, and their status arrives twice within this time."""
 CUT_OFF_DELAY_S = 3.0
-"""A node that is cut off from the workers leaves a free leader key this long to peers that
-are not. It is longer than an election and a slow answer of the key-value store take; if no
-peer is a candidate by then, a leader without workers is better than none."""
+"""How long a node that cannot reach workers leaves a free leader key to peers that can. This is
+longer than an election plus a slow response of the key-value store. If no peer has become
+leader after it, a leader that cannot reach workers is better than none."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """A peer's last report of what it reaches, and when it came."""
+    """A peer's connectivity, as the peer last reported it."""
 
     received_at: float
+    """This node's time when the report arrived."""
     contacts: ContactSummary
+    """The peer's contacts with workers."""
     store_answers: bool
-    """Whether the key-value store answered the peer when it was asked last."""
+    """Whether the key-value store answered the peer's last request."""
 
     def reaches_workers(self, now: float, since: float) -> bool:
         """Whether the peer reached workers after ``since``, and reaches the key-value store.
 
-        Only a report that is recent counts, of a peer that has reached workers without a
-        break: one whose link flaps is no successor.
+        False if the report is too old, or if the peer has not reached workers without
+        interruption: a peer whose link flaps is not a suitable successor.
         """
         age_s = self.contacts.age_s
         if now - self.received_at > REPORT_VALID_S or not self.store_answers or age_s is None:
@@ -49,25 +51,25 @@
 
 
 class PeerReports:
-    """The last report of each peer of one node."""
+    """The last report of each peer, by the peer's name."""
 
     def __init__(self) -> None:
-        """Start without reports."""
+        """Create it without reports."""
         self._reports: dict[str, PeerReport] = {}
 
     def update(self, peer: str, report: PeerReport) -> None:
-        """Replace a peer's report by a newer one."""
+        """Store a peer's newest report."""
         self._reports[peer] = report
 
     def remove(self, peer: str) -> None:
-        """Drop a peer's report: it is another process now, and has not reported yet."""
+        """Remove a peer's report, if there is one."""
         self._reports.pop(peer, None)
 
     def reaching_workers(self, now: float, since: float) -> list[str]:
         """Peers that reached workers after ``since``, and reach the key-value store.
 
-        Not merely later than this node's own last contact: of two that are cut off in the
-        same moment, one always had the later one.
+        ``since`` must be later than this node's last contact: of two nodes that are cut off
+        at the same moment, one always had the later contact.
         """
         return sorted(
             peer
--- a/appleshift/heartbeat_ingest/__init__.py
+++ b/appleshift/heartbeat_ingest/__init__.py
@@ -1,1 +1,1 @@
-"""Heartbeats taken in by every node: the fast path, and relays to the leader."""
+"""Receives workers' heartbeats: the fast path, and the relays that forward them to the leader."""
--- a/appleshift/heartbeat_ingest/fast_path.py
+++ b/appleshift/heartbeat_ingest/fast_path.py
@@ -1,20 +1,21 @@
-"""Answers a heartbeat in which nothing changed on its connection's own thread.
-
-Most heartbeats say what the last one said, and are answered without commands. Handing
-each of them to the scheduler's thread and waiting for its reply costs two switches of
-threads, more than all that is done about it. What such a heartbeat changes is when the
-machine was last heard and until when its lease may run; both are left in an entry of its
-machine, which the scheduler reads before it judges any silence or lease.
-
-Why no lease is judged too early. A heartbeat's time is in the entry before its response
-leaves. Judging the lease at some time, the scheduler has read the entry after that time:
-a response that it did not see leaves later still, when the lease that it would prolong is
-certainly over, and the worker, in its next agent epoch by then, drops it. An entry stays
-for as long as its machine is known, so no late writer is missed.
-
-Why nothing is told late. The scheduler forgets what it learned of a machine the moment
-there is a command for it (``WorkerCommands.schedule_send``); a response that was under way
-by then has no commands, and the command goes to the worker directly.
+"""Answers heartbeats that report no change on the connection's thread.
+
+Most heartbeats repeat the previous one and are answered without commands. Passing each of
+them to the scheduler's thread and waiting for the reply costs two thread switches, more than
+processing the heartbeat. A heartbeat without changes only updates the time of the machine's
+last heartbeat and the end of its worker lease. The connection records both in the machine's
+entry, and the scheduler reads the entry before it checks a heartbeat timeout or a lease.
+
+Why no lease is treated as expired too early: a heartbeat's time is written to the entry
+before its response is sent. The scheduler reads the entry after the time for which it checks
+the lease. A response whose entry it did not read is therefore sent after that time, when the
+lease that the response would renew has expired. The worker has then begun its next agent
+epoch and drops the response. An entry is kept as long as the machine is in the cluster
+state, so that no late write is lost.
+
+Why no command is delayed: the scheduler clears the machine's expected heartbeat as soon as
+there is a command for the machine (``WorkerCommands.schedule_send``). A response that is
+already being sent then contains no commands, and the command is sent to the worker directly.
 """
 
 from __future__ import annotations
@@ -22,45 +23,47 @@
 from appleshift.protocol.workers import HEARTBEAT_TIMEOUT_S, HeartbeatHeader
 
 ExpectedHeartbeat = tuple[int, int, bytes, bytes]
-"""(agent epoch, fencing token, tasks as they were sent, response): a plain tuple, for it is
-written and read with every heartbeat."""
+"""(agent epoch, fencing token, encoded tasks, encoded response). A plain tuple, because it is
+read with every heartbeat and written with each one that the scheduler processes."""
 
 
 class FastPathEntry:
-    """What connections and the scheduler leave each other of one machine.
+    """A machine's fast-path state, shared by the scheduler and the connections' threads.
 
-    The scheduler writes ``expected`` and ``last_processed``, connections ``last_answered``;
-    each is one object, so that nobody reads half of it.
+    The scheduler writes ``expected`` and ``last_processed``, connections write
+    ``last_answered``. Each attribute is replaced as one object, so that no thread reads a
+    partly written value.
     """
 
     __slots__ = ("expected", "last_answered", "last_processed")
 
     def __init__(self) -> None:
-        """Start without an expected heartbeat."""
+        """Create an entry without an expected heartbeat."""
         # None: the scheduler must process the next heartbeat.
         self.expected: ExpectedHeartbeat | None = None
-        # (time, agent epoch, sequence number) of the last heartbeat that was answered here,
-        # and whether it came so soon after the one before that the worker had the response
-        # to that.
+        # (time, agent epoch, sequence number) of the last heartbeat answered on the fast path,
+        # and whether it arrived within the heartbeat timeout after the previous heartbeat, so
+        # that the worker must have received the previous response.
         self.last_answered: tuple[float, int, int, bool] = (0.0, 0, -1, False)
-        # (time, agent epoch, sequence number) of the last one that the scheduler processed.
-        # Without it a copy of an older heartbeat passed for a new one here.
+        # (time, agent epoch, sequence number) of the last heartbeat that the scheduler
+        # processed. Without it the fast path accepted a copy of an older heartbeat as new.
         self.last_processed: tuple[float, int, int] = (0.0, 0, -1)
 
 
 class FastPath:
-    """The entries of all machines during one leader term of a shard."""
+    """The fast-path entries of a shard's machines, by machine name, during one leader term."""
 
     def __init__(self) -> None:
-        """Start without entries: the scheduler processes every machine's first heartbeat."""
+        """Create it without entries: the scheduler processes each machine's first heartbeat."""
         self.entries: dict[str, FastPathEntry] = {}
 
     def set_expected(
         self, machine: str, expected: ExpectedHeartbeat, at: float, seq: int
     ) -> FastPathEntry:
-        """Record that heartbeats like this one need no more than this response.
+        """Store the heartbeat that the fast path answers for a machine; returns its entry.
 
-        ``at`` and ``seq`` are the time and the number of the one that was processed.
+        ``at`` and ``seq`` are the time and the sequence number of the heartbeat that the
+        scheduler just processed.
         """
         entry = self.entries.get(machine)
         if entry is None:
@@ -70,9 +73,10 @@
         return entry
 
     def response_to(self, heartbeat: HeartbeatHeader, now: float) -> bytes | None:
-        """The response, if nothing changed; None: the scheduler must process the heartbeat.
+        """The encoded response to a heartbeat that reports no change.
 
-        ``now`` was read before the caller made sure that it is entitled.
+        None if the scheduler must process the heartbeat. The caller must read ``now`` before
+        it checks that its leader lease is valid.
         """
         entry = self.entries.get(heartbeat.machine)
         expected = None if entry is None else entry.expected
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -1,11 +1,11 @@
-"""Relays workers' heartbeats to the leader, many in a call, and its responses back.
-
-A relay decides nothing: what a worker gets is the leader's own response to
-this very heartbeat. So a relayed response renews no lease that the leader did
-not renew while it was entitled, for a worker's lease counts from when it *sent*
-its heartbeat, which is before the leader responded; and however long a relay
-pauses before it sends the response on, the worker drops what comes after 4 s,
-or with a lower fencing token than it has seen.
+"""Relays workers' heartbeats to the leader in batches and returns the leader's responses.
+
+A relay decides nothing: a worker receives the leader's own response to that heartbeat. A
+relayed response therefore renews no lease that the leader did not renew while its leader
+lease was valid, because a worker's lease counts from when the worker *sent* its heartbeat,
+which is before the leader responded. A relay may pause before it returns the response: the
+worker drops a response that arrives after 4 s or has a lower fencing token than it has
+received.
 """
 
 from __future__ import annotations
@@ -27,19 +27,18 @@
 
 CONCURRENT_CALLS = 4
 BATCH_WINDOW_S = 0.1
-"""Heartbeats that arrive within this time share a call. With a fifth of it, two
-heartbeats shared a call, which costs both ends nearly what two calls do; nobody
-waits for a heartbeat but those to whom it reports the end of a task, and commands
-go straight to workers."""
+"""Heartbeats that arrive within this time are sent in one call. With a fifth of it, a call
+held two heartbeats and cost both nodes nearly as much as two calls. The delay only matters
+for reports of ended tasks: commands are sent to workers directly."""
 BATCH_BYTES = 48 * 1024
 HEARTBEAT_OVERHEAD_BYTES = 8
-"""Counted for each heartbeat besides its body: its header in the batch's encoding."""
+"""Size of a heartbeat's header in the batch's encoding, added to the size of its body."""
 RESPONSE_TIMEOUT_S = 3.0
-"""Workers wait 4 s for a response."""
+"""Timeout of a call to the leader, shorter than the 4 s that workers wait for a response."""
 
 
 class LeaderResponse(msgspec.Struct, frozen=True, gc=False):
-    """The leader's response to one heartbeat, its body as the leader encoded it."""
+    """The leader's response to one heartbeat: the HTTP status and the encoded body."""
 
     status: int
     body: bytes
@@ -49,7 +48,7 @@
 
 
 class _PendingHeartbeat:
-    """A heartbeat whose connection's thread waits at ``reply_to`` for the answer."""
+    """A heartbeat to relay; its connection's thread waits for the response in ``reply_to``."""
 
     __slots__ = ("body", "leader", "reply_to")
 
@@ -58,10 +57,10 @@
 
 
 class HeartbeatRelay:
-    """The relay of one node; its threads start with the first heartbeat."""
+    """A node's heartbeat relay; its threads start when the first heartbeat is relayed."""
 
     def __init__(self, peer_clients: dict[str, HttpCaller], runtime: Runtime) -> None:
-        """``peer_clients``: by the peer's name."""
+        """Create the relay; ``peer_clients`` holds a client for each peer, by its name."""
         self._peer_clients = peer_clients
         self._runtime = runtime
         self._pool = ThreadPool(runtime, "relay", CONCURRENT_CALLS)
@@ -69,7 +68,7 @@
         self._waiting: deque[_PendingHeartbeat] = deque()
 
     def forward(self, leader: str, body: bytes) -> LeaderResponse:
-        """The leader's answer to a heartbeat; 503 without one in time."""
+        """The leader's response to an encoded heartbeat; a 503 response if the call fails or times out."""
         entry = _PendingHeartbeat(leader, body, self._runtime.queue())
         with self._lock:
             is_first = not self._waiting
@@ -77,15 +76,15 @@
         if is_first:
             self._pool.submit(self._send_batch)
         try:
-            answer: LeaderResponse = entry.reply_to.get(
+            response: LeaderResponse = entry.reply_to.get(
                 timeout=RESPONSE_TIMEOUT_S + 2 * BATCH_WINDOW_S
             )
         except queue.Empty:
             return NO_RESPONSE
-        return answer
+        return response
 
     def _next_batch(self) -> list[_PendingHeartbeat]:
-        """The heartbeats of the next call: all for one leader, up to a size."""
+        """Remove the heartbeats of the next call: all for one leader, up to ``BATCH_BYTES``."""
         batch: list[_PendingHeartbeat] = []
         size = 0
         with self._lock:
@@ -101,19 +100,19 @@
         return batch
 
     def _send_batch(self) -> None:
-        """Gather heartbeats for a moment, send them and hand out the leader's answers."""
+        """Collect heartbeats for ``BATCH_WINDOW_S``, send them and return the responses."""
         self._runtime.sleep(BATCH_WINDOW_S)
         batch = self._next_batch()
         if not batch:
             return
-        answers = self._ask_leader(batch)
-        if len(answers) != len(batch):
-            answers = [NO_RESPONSE] * len(batch)
-        for entry, answer in zip(batch, answers, strict=True):
-            entry.reply_to.put(answer)
-
-    def _ask_leader(self, batch: list[_PendingHeartbeat]) -> list[LeaderResponse]:
-        """The leader's answers in the order of the batch; empty if the call failed."""
+        responses = self._call_leader(batch)
+        if len(responses) != len(batch):
+            responses = [NO_RESPONSE] * len(batch)
+        for entry, response in zip(batch, responses, strict=True):
+            entry.reply_to.put(response)
+
+    def _call_leader(self, batch: list[_PendingHeartbeat]) -> list[LeaderResponse]:
+        """The leader's responses in the order of the batch; empty if the call failed."""
         leader = batch[0].leader
         try:
             client = self._peer_clients[leader]
@@ -123,8 +122,8 @@
             )
             if status != 200:
                 return []
-            responses = peers.decode_heartbeat_responses(raw).responses
-            return [LeaderResponse(each.status, bytes(each.body)) for each in responses]
+            relayed = peers.decode_heartbeat_responses(raw).responses
+            return [LeaderResponse(each.status, bytes(each.body)) for each in relayed]
         except (ClientError, ProtocolError, KeyError) as error:
             log.debug(
                 "relay call failed leader=%s heartbeats=%d error=%s", leader, len(batch), error
@@ -132,5 +131,5 @@
             return []
 
     def stop(self) -> None:
-        """End the relay's threads; heartbeats that still wait time out."""
+        """Stop the relay's threads; pending heartbeats time out."""
         self._pool.stop()
--- a/appleshift/heartbeat_ingest/relay_assignment.py
+++ b/appleshift/heartbeat_ingest/relay_assignment.py
@@ -1,10 +1,10 @@
-"""Which node receives which machine's heartbeats.
+"""Assigns each machine to the node that receives its heartbeats.
 
-The leader receives all of them as long as it has capacity for them. Beyond
-that it says which fraction of the machines reports to other nodes, by a hash of
-their names, so that all nodes come to the same answer without a table: the
-fraction decides which machines leave the leader, rendezvous hashing which relay
-they go to. When a relay is gone, only its own machines move.
+The leader receives all heartbeats as long as it has capacity for them. Beyond that it
+publishes the fraction of the machines that send their heartbeats to relays. A machine is
+relayed if the hash of its name is below the fraction, and rendezvous hashing selects its
+relay, so that all nodes compute the same assignment without a table. When a relay fails,
+only its own machines move.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from collections.abc import Sequence
 
 FRACTION_STEPS = 16
-"""The relayed fraction moves in steps, or each new machine would move others."""
+"""The relayed fraction changes in steps of 1/16; otherwise each new machine would move others."""
 LEADER_FILL_FRACTION = 0.95
-"""The leader fills this much of its capacity before machines report to relays."""
+"""Fraction of its capacity that the leader uses before machines are assigned to relays."""
 _HASH_RANGE = float(1 << 64)
 
 
 def relay_for(machine: str, relayed_fraction: float, relays: Sequence[str]) -> str | None:
-    """The relay that receives a machine's heartbeats; None: the leader does."""
+    """The relay that receives a machine's heartbeats; None if the leader receives them."""
     if not relays or relayed_fraction <= 0.0:
         return None
-    # Only a fleet that is too large for one node's connections needs it.
+    # Imported late: only a cluster with more machines than one node can serve needs xxhash.
     from xxhash import xxh3_64_intdigest as digest
 
     if digest(machine.encode()) / _HASH_RANGE >= relayed_fraction:
@@ -33,15 +33,16 @@
 def next_relayed_fraction(
     machines: int, machines_per_node: int, relays: int, current: float
 ) -> float:
-    """The fraction of the machines that reports to relays from now on.
+    """The new fraction of the machines that send their heartbeats to relays.
 
-    It grows as soon as the leader is short of capacity and shrinks only when it
-    is two steps too large, so that it does not oscillate.
+    ``machines`` and ``relays`` are counts; ``current`` is the fraction so far. The fraction
+    grows as soon as the leader is short of capacity. It shrinks only when it is at least two
+    steps too large, so that it does not oscillate.
     """
     if not relays or machines <= 0:
         return 0.0
     excess = 1.0 - machines_per_node * LEADER_FILL_FRACTION / machines
-    # With all nodes equally full there is no more to gain.
+    # A larger fraction would load the relays more than the leader.
     target = min(max(0.0, excess), relays / (relays + 1.0))
     target_steps = -int(-target * FRACTION_STEPS // 1)
     steps = round(current * FRACTION_STEPS)
@@ -51,9 +52,8 @@
 
 
 def max_machines(machines_per_node: int, relays: int) -> int:
-    """Machines that all nodes together can receive heartbeats from, also with one relay down.
+    """The number of machines whose heartbeats the nodes can receive with one relay down.
 
-    Machines that nobody received heartbeats from after its crash would be replaced by
-    new ones.
+    If no node had capacity for a crashed relay's machines, they would be replaced by new ones.
     """
     return machines_per_node * (1 + max(0, relays - 1))
