--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -1,4 +1,4 @@
-"""What the endpoints of a node share: its replicas, its peers and the way to the scheduler."""
+"""State and callbacks that the endpoints of a node share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from appleshift.transport.http_messages import Response
 
 SCHEDULER_REPLY_TIMEOUT_S = 4.0
-"""Users wait 5 s for most responses, workers 4 s; a later one helps nobody."""
+"""Timeout of a scheduler reply. Users wait 5 s for most responses and workers 4 s; a later
+response is useless."""
 MAX_QUEUE_LOAD: dict[type[events.ApiRequest], float] = {
     events.HeartbeatReceived: 2.0,
     events.ShardRequestReceived: 2.0,
@@ -23,26 +24,26 @@
     events.GetJobStatus: 0.75,
     events.GetCountedResources: 0.5,
 }
-"""Admission limit of each kind of request: it is queued for the scheduler up to this
-length of its queue, in multiples of the length that a node should have at most. What is
-queued is answered late, so requests on which leases depend come first."""
+"""Admission limit of each kind of request: the queue load up to which the request is queued for
+the scheduler (see ``ApiContext.queue_load``). A long queue delays every response, so requests
+on which leases depend have the highest limits."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApiContext:
-    """Read by the threads of all connections; none of its fields is replaced."""
+    """Dependencies of the endpoints, used by all connections' threads. Immutable."""
 
     replicas: Mapping[int, ShardReplicaView]
-    """By shard."""
+    """This node's replicas, by shard."""
     peer_clients: dict[str, HttpCaller]
-    """By the peer's name."""
+    """Clients for the peers, by the peer's name."""
     post_event: Callable[[events.Event], None]
     """Queues an event for the scheduler's thread."""
     queue_load: Callable[[], float]
-    """Length of the scheduler's queue, in multiples of what a node should have at most."""
+    """Returns the length of the scheduler's queue divided by the node's target maximum."""
     runtime: Runtime
     shard_map: Callable[[], ShardMapView | None] = lambda: None
-    """The shard map that this node goes by; None: there is one shard."""
+    """Returns the shard map that this node uses; None if there is only one shard."""
 
     @property
     def first_replica(self) -> ShardReplicaView:
@@ -50,14 +51,15 @@
         return self.replicas[0]
 
     def is_entitled(self, replica: ShardReplicaView) -> bool:
-        """Whether this node's leader lease lets it answer for the shard now."""
+        """Whether this node holds a valid leader lease, so that it may answer for the shard now."""
         return replica.lease.may_answer(self.runtime.now())
 
     def is_led_elsewhere(self, replica: ShardReplicaView) -> bool:
-        """Whether requests about the shard belong to another node.
+        """Whether requests about the shard must be answered by another node.
 
-        Only its leader answers for a shard. One whose lease expired sends users on to its
-        successor; while there is none, its scheduler still knows which results are final.
+        Only a shard's leader answers for it. A leader whose lease expired forwards users to
+        its successor. Until there is a successor, its scheduler can still answer requests
+        about jobs in a final state.
         """
         if not replica.lease.is_leader:
             return True
@@ -67,7 +69,7 @@
     def ask_scheduler(self, event: events.ApiRequest) -> SchedulerReply | None:
         """Queue a request for the scheduler and wait for its reply.
 
-        None: the queue is too long for this kind of request, or the reply timed out.
+        Returns None if the queue is too long for this kind of request or the reply times out.
         """
         if self.queue_load() > MAX_QUEUE_LOAD[type(event)]:
             return None
@@ -78,6 +80,6 @@
             return None
 
     def scheduler_response(self, event: events.ApiRequest) -> Response:
-        """The scheduler's reply to a request as a response; 503 without one in time."""
+        """Queue a request and return the scheduler's reply as a response; 503 without one."""
         reply = self.ask_scheduler(event)
         return unavailable() if reply is None else reply.response()
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards users' requests to the node that leads the shard they are about."""
+"""Forwards users' requests to the leader of the shard that is responsible for them."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 log = logging.getLogger(__name__)
 
 FORWARD_TIMEOUT_S = 1.8
-"""How long a peer may take to answer a forwarded request."""
+"""Timeout of a forwarded request."""
 ELECTION_WAIT_S = 0.4
-"""How long a query waits for an election to end."""
+"""How long a job query waits for an election to end."""
 ELECTION_POLL_S = 0.05
-"""How often a waiting query looks for a new leader."""
+"""Interval between checks for a new leader while a job query waits."""
 
 
 class Forwarder:
-    """Forwards requests of one node to the leaders of its shards."""
+    """Forwards requests that arrive at this node to the leaders of the shards."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         freshness: ResponseFreshness,
         route: Callable[[Request], Response],
     ) -> None:
-        """``route`` answers a request at this node, as if a peer had forwarded it."""
+        """Create the forwarder; ``route`` handles a request on this node as a forwarded one."""
         self._context = context
         self._freshness = freshness
         self._route = route
@@ -39,12 +39,13 @@
     def forward(
         self, replica: ShardReplicaView, request: Request, forwarded: bool, wait_for_election: bool
     ) -> Response:
-        """The shard leader's response; 503 without a leader or a response in time.
+        """The response of the shard's leader; 503 without a leader or after a timeout.
 
-        Only the leader of a shard answers users, so that nobody gets an older response.
+        Only a shard's leader answers users, so that no user receives an outdated response.
+        ``forwarded``: a peer forwarded the request to this node.
         """
         if forwarded:
-            # The sender's view of the leader is out of date; its client retries.
+            # The peer's information about the leader is outdated; the user's client retries.
             return unavailable()
         context = self._context
         deadline = context.runtime.now() + ELECTION_WAIT_S
@@ -55,8 +56,8 @@
             client = context.peer_clients.get(leader) if leader else None
             if client is not None:
                 return self._call(client, request, leader)
-            # A query may wait a moment for an election to end. A submission is
-            # answered at once: it is better for its user to retry.
+            # Job queries and reads of counted resources wait for an election to end.
+            # Submissions and cancellations are answered at once, so that their user retries.
             if not wait_for_election or context.runtime.now() >= deadline:
                 return unavailable()
             context.runtime.sleep(ELECTION_POLL_S)
--- a/appleshift/api/interfaces.py
+++ b/appleshift/api/interfaces.py
@@ -1,4 +1,4 @@
-"""What the endpoints need of a shard's replica and of the shard map."""
+"""Interfaces of a shard replica and of the shard map, as used by the endpoints."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 
     @property
     def election(self) -> LeaderElection:
-        """The shard's leader election, as this node takes part in it."""
+        """This node's part in the shard's leader election."""
         ...
 
     @property
     def lease(self) -> LeaderLease:
-        """The leader lease; it may be another node's."""
+        """This node's information about the shard's leader lease; another node may hold it."""
         ...
 
     def has_machine(self, machine: str) -> bool:
-        """Whether the scheduler of the shard has that machine."""
+        """Whether this node's scheduler of the shard has a machine of that name."""
         ...
 
     def unchanged_response(self, heartbeat: workers.HeartbeatHeader, now: float) -> bytes | None:
-        """The response to a heartbeat without changes; None: the scheduler must process it."""
+        """The response to an unchanged heartbeat; None if the scheduler must process it."""
         ...
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """The state of a job that users may have been told, as far as this node knows."""
+        """The last job state that this node may have reported to users; None if unknown."""
         ...
 
     def view(self) -> dict[str, Any]:
-        """For operators: what the shard's scheduler holds, if this node leads the shard."""
+        """The shard's row for operators, with the scheduler's figures if this node leads it."""
         ...
 
 
 class ShardMapView(Protocol):
-    """Which shard is responsible for what, where there are several."""
+    """Maps jobs and machines to shards in a cluster with several shards."""
 
     def home_shards(self, job_id: str) -> list[int]:
-        """Shards that may know a job of that id; a new one belongs to the first."""
+        """Shards that may have a job of that id. A new job is submitted to the first."""
         ...
 
     def shard_of_machine(self, name: str, kind: str) -> int:
-        """The shard of a machine of that name and type."""
+        """The shard responsible for a machine of that name and type."""
         ...
 
     @property
     def version(self) -> int:
-        """Version of the map; it grows with each change."""
+        """Version of the shard map; it grows with each change."""
         ...
 
     @property
     def submission_shards(self) -> list[int]:
-        """Shards that accept users' submissions."""
+        """Shards that accept job submissions."""
         ...
--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -1,4 +1,4 @@
-"""Operators' requests: readiness, the nodes, and counted resources with their audit."""
+"""Endpoints for operators: readiness, nodes, counted resources and their audit log."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 COUNTED_RESOURCES_PATH = "/seats"
 MAX_NUMBER_DIGITS = 18
-"""A longer number in a path is no audit page or entry."""
+"""Maximum digits of an audit page or entry number in a path."""
 AUDIT_PAGES_PER_S = 2.0
-"""Audit pages that a node reads in a second. They come out of its part of the key-value
-store's request rate, which renewals of its leader lease need first."""
+"""Maximum audit pages that a node reads from the store per second. Leader lease renewals use
+the same request rate of the store and must not be delayed."""
 
 
 class OperatorEndpoints:
-    """Endpoints for operators and for health checks."""
+    """Endpoints for operators and health checks."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         store: KeyValueStore,
         max_machines: Callable[[], int],
     ) -> None:
-        """``max_machines``: how many machines this node's connections have room for."""
+        """Create them; ``max_machines`` returns the number of machines the nodes can serve."""
         self._context = context
         self._forwarder = forwarder
         self._store = store
@@ -41,7 +41,7 @@
         self._audit_rate = RateLimiter(context.runtime, AUDIT_PAGES_PER_S)
 
     def ready(self) -> Response:
-        """200 while at least half of the shards with submissions can be served from here."""
+        """200 if this node can serve at least half of the shards that accept submissions."""
         shard_map = self._context.shard_map()
         shards = [0] if shard_map is None else shard_map.submission_shards
         served = sum(
@@ -54,7 +54,7 @@
         return respond(200 if ready else 503, {"ready": ready})
 
     def nodes(self) -> Response:
-        """Who leads, as far as this node knows."""
+        """The leader and the relays, as known to this node, and a row for each shard."""
         lease, election = self._context.first_replica.lease, self._context.first_replica.election
         body = {
             "name": election.node_name,
@@ -81,7 +81,7 @@
         ]
 
     def counted_resources(self, path: str, request: Request, forwarded: bool) -> Response:
-        """Counted resources as they are; their audit page by page, then its newest entries."""
+        """The counted resources, a page of their audit log, or its entries from a number on."""
         view, _, number = path.removeprefix(COUNTED_RESOURCES_PATH).strip("/").partition("/")
         if not view:
             return self._ask_leader(None, request, forwarded)
@@ -92,12 +92,12 @@
         ):
             return respond(404, users.error_body("no such path"))
         if view == "pages":
-            # Written once and never changed: any node may read them.
+            # Audit pages are immutable, so any node may read them.
             return self._audit_page(int(number))
         return self._ask_leader(int(number) - 1, request, forwarded)
 
     def _ask_leader(self, after: int | None, request: Request, forwarded: bool) -> Response:
-        """The leader's counted resources, or with ``after`` their audit after that entry."""
+        """The leader's counted resources; with ``after``, the audit entries after that one."""
         replica = self._context.first_replica
         if self._context.is_led_elsewhere(replica):
             return self._forwarder.forward(replica, request, forwarded, wait_for_election=True)
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -1,4 +1,4 @@
-"""Peers' requests: lease votes, peer status, connectivity, and calls between shards."""
+"""Endpoints for peers: lease votes, peer status, connectivity and calls between shards."""
 
 from __future__ import annotations
 
@@ -21,17 +21,21 @@
         is_worker_reachable: Callable[[str], bool],
         own_status: Callable[[], peers.PeerStatus | None],
     ) -> None:
-        """``is_worker_reachable``: whether the worker at an address answers this node."""
+        """Create the endpoints.
+
+        ``is_worker_reachable`` returns whether the worker at an address answers this node.
+        ``own_status`` returns this node's peer status.
+        """
         self._context = context
         self._is_worker_reachable = is_worker_reachable
         self._own_status = own_status
 
     def peer_status(self) -> Response:
-        """This node's status."""
+        """This node's peer status."""
         return respond(200, self._own_status())
 
     def lease_vote(self, body: bytes) -> Response:
-        """Vote for a leader that wants to keep its lease; 409 without the vote."""
+        """Answer a leader's request for a lease vote: 200 if granted, otherwise 409."""
         try:
             request = peers.decode_lease_vote_request(body)
         except ProtocolError as error:
@@ -42,7 +46,7 @@
         return respond(200 if granted else 409, peers.LeaseVote(granted, process_id))
 
     def connectivity(self, body: bytes) -> Response:
-        """Whether one of these workers answers this node, and it could be elected."""
+        """Whether this node reaches one of the given workers and the key-value store."""
         try:
             request = peers.decode_connectivity_request(body)
         except ProtocolError as error:
@@ -52,7 +56,7 @@
         return respond(200, peers.ConnectivityReply(reached))
 
     def shard_call(self, body: bytes) -> Response:
-        """The leader of another shard calls the leader of one of this node's shards."""
+        """Answer a call from another shard's leader; 503 if this node does not lead the target."""
         try:
             call = sharding.decode_call(body)
         except ProtocolError as error:
--- a/appleshift/api/responses.py
+++ b/appleshift/api/responses.py
@@ -1,4 +1,4 @@
-"""Responses that several endpoints give, and the scheduler's reply to a request."""
+"""Responses that several endpoints use, and the scheduler's reply to a request."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def unavailable() -> Response:
-    """The response of a node that cannot answer now: the client retries after a second."""
+    """A 503 response of a node that cannot answer now: the client retries after one second."""
     return respond(503, users.error_body("not available right now"), 1)
 
 
 def refuse_method(method: str, allowed: str) -> Response | None:
-    """The response to a request by another method than the allowed one; None: it is allowed.
+    """A 405 response if ``method`` is not allowed for the path, otherwise None.
 
     HEAD is allowed wherever GET is.
     """
@@ -38,12 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerReply:
-    """The scheduler's reply to a request; ``retry_after`` is in seconds, 0 for none."""
+    """The scheduler's reply to a request.
+
+    ``retry_after`` is in seconds; 0 leaves the header out.
+    """
 
     status: int
     body: Any
     retry_after: int = 0
 
     def response(self) -> Response:
-        """The reply as a response to the client."""
+        """Convert the reply to an HTTP response."""
         return respond(self.status, self.body, self.retry_after)
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -1,4 +1,4 @@
-"""Routes requests to the endpoints; bad requests and defects end no connection's thread."""
+"""Routes requests to the endpoints and converts exceptions to error responses."""
 
 from __future__ import annotations
 
@@ -31,37 +31,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterDependencies:
-    """What the endpoints need of their node; the defaults are those of a node without peers."""
+    """Dependencies of the endpoints; the defaults suit a node without peers."""
 
     replicas: Mapping[int, ShardReplicaView]
-    """By shard."""
+    """This node's replicas, by shard."""
     peer_clients: dict[str, HttpCaller]
-    """By the peer's name."""
+    """Clients for the peers, by the peer's name."""
     post_event: Callable[[events.Event], None]
     """Queues an event for the scheduler's thread."""
     queue_load: Callable[[], float]
-    """Length of the scheduler's queue, in multiples of what a node should have at most."""
+    """Returns the length of the scheduler's queue divided by the node's target maximum."""
     is_worker_reachable: Callable[[str], bool]
-    """Whether the worker at an address answers this node."""
+    """Returns whether the worker at an address answers this node."""
     runtime: Runtime
     store: KeyValueStore
     max_machines: Callable[[], int] = lambda: 0
-    """How many machines this node's connections have room for."""
+    """Returns the number of machines that the nodes have connections for."""
     own_status: Callable[[], peers.PeerStatus | None] = lambda: None
-    """This node's status for its peers."""
+    """Returns this node's status for its peers."""
     shard_map: Callable[[], ShardMapView | None] = lambda: None
-    """The shard map that this node goes by; None: there is one shard."""
+    """Returns the shard map that this node uses; None if there is only one shard."""
     connections_nearly_full: Callable[[], bool] = lambda: False
-    """Whether the node's connections are nearly used up."""
+    """Returns whether nearly all of the node's connections are in use."""
     on_heartbeat: Callable[[], None] = lambda: None
-    """Called for each heartbeat that a worker sends to this node."""
+    """Called for each heartbeat that a worker sends to this node directly."""
 
 
 class RequestRouter:
-    """Routes of both listeners. Runs on the connections' threads."""
+    """Routes the requests of both listeners. Runs on the connections' threads."""
 
     def __init__(self, node: RouterDependencies) -> None:
-        """Create the endpoints of a node."""
+        """Create the node's endpoints."""
         context = ApiContext(
             node.replicas,
             node.peer_clients,
@@ -87,15 +87,15 @@
         }
 
     def stop(self) -> None:
-        """End the endpoints' own threads."""
+        """Stop the threads of the endpoints."""
         self._workers.stop()
 
     def handle_public(self, request: Request) -> Response:
-        """Answer users, workers and health checks."""
+        """Answer a request on the public listener, from a user, worker or operator."""
         return self._route_safely(request, forwarded=False)
 
     def handle_cluster(self, request: Request) -> Response:
-        """Answer peers: their own calls, and users' requests that they forward."""
+        """Answer a peer: its own call, or a user's request that it forwards."""
         handler = self._peer_routes.get((request.method, request.path))
         if handler is not None:
             return handler(request.body)
@@ -107,7 +107,7 @@
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         except Exception:
-            # One bad request must not end a thread, nor stay without a response.
+            # A defect must neither end the connection's thread nor leave out the response.
             log.exception("request failed method=%s path=%s", request.method, request.path)
             return respond(500, users.error_body("internal error"))
 
@@ -135,7 +135,7 @@
         return respond(404, users.error_body("no such path"))
 
     def _route_job(self, rest: str, request: Request, forwarded: bool) -> Response:
-        """``rest``: the part of the path after the jobs' own, still quoted."""
+        """Route a request about a job; ``rest`` is the quoted path after ``JOBS_PATH``."""
         job_id, *action = unquote(rest).split("/")
         if not action:
             refused = refuse_method(request.method, "GET")
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -1,4 +1,4 @@
-"""Users' requests: submissions, queries and cancellations, put to the shard they are about."""
+"""Endpoints for users: job submissions, queries and cancellations, sent to the right shard."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 
 JOBS_PATH = "/submissions"
 MAX_QUERY_NUMBER_DIGITS = 19
-"""A longer number in a query counts as malformed."""
+"""Maximum digits of a number in a query string; a longer one is malformed."""
 
 JobEvent = events.SubmitJob | events.GetJobStatus | events.CancelJob
 
 
 @dataclass(frozen=True, slots=True)
 class ShardTarget:
-    """The shard that a request is put to."""
+    """The shard to which a request is sent."""
 
     shard: int
     forwarded_by_home: bool
-    """The job's home shard has recorded that this one decides for the job."""
+    """Whether the job's home shard has recorded that this shard decides for the job."""
     map_version: int
-    """Of the shard map that led to this shard; 0: there is none."""
+    """Version of the shard map by which this shard was chosen; 0 without a shard map."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobCall:
-    """A user's request about a job, which may be put to one shard after another."""
+    """A user's request about a job, which may be sent to several shards in turn."""
 
     request: Request
     make_event: Callable[[ShardTarget], JobEvent]
-    """Makes the scheduler's event for a shard, with a reply queue of its own."""
+    """Creates the scheduler's event for a shard, with a new reply queue."""
     wait_for_election: bool
-    """Whether a response may wait for an election that is under way."""
+    """Whether the request may wait for an ongoing election."""
 
 
 def _query_number(query: dict[str, list[str]], name: str) -> int:
-    """A number in a query string: 0 if it is left out, -1 if it is malformed."""
+    """A number in a query string: 0 if it is missing, -1 if it is malformed."""
     text = query.get(name, ["0"])[0]
     return int(text) if text.isdecimal() and len(text) <= MAX_QUERY_NUMBER_DIGITS else -1
 
@@ -54,19 +54,20 @@
 class UserEndpoints:
     """Endpoints for users' jobs.
 
-    ``forwarded``: a peer forwarded the request; it names the shard that it asks.
+    The parameter ``forwarded`` is true if a peer forwarded the request. The request's query
+    string then contains the shard.
     """
 
     def __init__(
         self, context: ApiContext, forwarder: Forwarder, freshness: ResponseFreshness
     ) -> None:
-        """Share ``context`` and ``forwarder`` with the node's other endpoints."""
+        """Create the endpoints; the arguments are shared with the node's other endpoints."""
         self._context = context
         self._forwarder = forwarder
         self._freshness = freshness
 
     def submit(self, request: Request, forwarded: bool) -> Response:
-        """Accept a job, or say what became of it if it is known already.
+        """Accept a job, or report its state if it was submitted before.
 
         Raises ProtocolError for a malformed submission.
         """
@@ -83,8 +84,8 @@
             return self._ask_named_shard(call, forwarded)
         home, *former_homes = shard_map.home_shards(spec.id)
         for shard in former_homes:
-            # The job may have been submitted before the shards were split anew: then a
-            # former home knows it, else nobody does.
+            # A job that was submitted before the shard map changed may be in a former home
+            # shard.
             query = Request("GET", f"{JOBS_PATH}/{spec.id}", b"")
             response = self._ask_shard(
                 shard, self._status_call(spec.id, query, wait_for_election=False)
@@ -99,12 +100,12 @@
         return self._follow_redirect(self._ask_shard(home, call), call)
 
     def status(self, job_id: str, request: Request, forwarded: bool) -> Response:
-        """A job's state; 404 for one that nobody submitted."""
+        """A job's state; 404 if the job was not submitted."""
         call = self._status_call(job_id, request, wait_for_election=True)
         return self._ask_about_job(call, job_id, forwarded)
 
     def cancel(self, job_id: str, request: Request, forwarded: bool) -> Response:
-        """Cancel a job, unless it is done; 404 for one that nobody submitted."""
+        """Cancel a job that has not ended; 404 if the job was not submitted."""
 
         def cancel_event(target: ShardTarget) -> events.CancelJob:
             return events.CancelJob(
@@ -131,9 +132,9 @@
         return JobCall(request, status_event, wait_for_election)
 
     def _ask_about_job(self, call: JobCall, job_id: str, forwarded: bool) -> Response:
-        """The response of the first of the job's home shards that knows it."""
+        """The response of the first home shard that does not answer 404."""
         if not users.is_valid_job_id(job_id):
-            # Users also ask about jobs that nobody can have submitted.
+            # No job with an invalid id can have been submitted.
             return respond(404, users.error_body("no such job"))
         shard_map = self._context.shard_map()
         if forwarded or shard_map is None:
@@ -145,7 +146,7 @@
         return response
 
     def _ask_named_shard(self, call: JobCall, forwarded: bool) -> Response:
-        """Put a call to the shard that a peer names; without a shard map there is one."""
+        """Send a call to the shard in its query string; shard 0 if it has none."""
         query = parse_qs(urlsplit(call.request.path).query)
         target = ShardTarget(
             shard=_query_number(query, "share"),
@@ -160,14 +161,14 @@
         return self._forwarder.forward(replica, call.request, forwarded, call.wait_for_election)
 
     def _ask_here(self, replica: ShardReplicaView, event: JobEvent) -> Response:
-        """This node's response for a shard that it leads."""
+        """This node's response as the leader of a shard."""
         reply = self._context.ask_scheduler(event)
         if reply is None:
             return unavailable()
         return self._freshness.revalidated_before_sending(reply, replica, event.job_id)
 
     def _ask_shard(self, shard: int, call: JobCall, forwarded_by_home: bool = False) -> Response:
-        """The response of a shard's leader, which may be this node or a peer."""
+        """The response of a shard's leader, either this node or a peer."""
         replica = self._context.replicas.get(shard)
         shard_map = self._context.shard_map()
         version = 0 if shard_map is None else shard_map.version
@@ -184,7 +185,10 @@
         )
 
     def _follow_redirect(self, response: Response, call: JobCall) -> Response:
-        """The response itself, unless the home shard names another that decides for the job."""
+        """Resend the call if a home shard's response redirects it (421) to another shard.
+
+        Returns any other response unchanged; 503 if the second shard redirects as well.
+        """
         if response.status != 421:
             return response
         try:
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats: answered here, relayed to the leader, or sent to another node."""
+"""Endpoints for heartbeats: answered here, relayed to the leader or redirected to a node."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from appleshift.transport.http_messages import Response
 
 BATCH_REPLY_TIMEOUT_S = 2.5
-"""A relay waits 3 s for the responses to a batch, its workers 4 s."""
+"""Timeout of the scheduler's replies to a batch, shorter than the 3 s that a relay waits."""
 
 
 class WorkerEndpoints:
-    """Endpoints for workers, and for relays that pass workers' heartbeats on."""
+    """Endpoints for workers, and for relays that forward workers' heartbeats."""
 
     def __init__(
         self,
@@ -31,9 +31,11 @@
         connections_nearly_full: Callable[[], bool],
         on_heartbeat: Callable[[], None],
     ) -> None:
-        """``connections_nearly_full``: whether the node's connections are nearly used up.
+        """Create the endpoints.
 
-        ``on_heartbeat`` is called for each heartbeat that a worker sends to this node.
+        ``connections_nearly_full`` returns whether nearly all of the node's connections are in
+        use. ``on_heartbeat`` is called for each heartbeat that a worker sends to this node
+        directly.
         """
         self._context = context
         self._connections_nearly_full = connections_nearly_full
@@ -41,13 +43,13 @@
         self._relay = HeartbeatRelay(context.peer_clients, context.runtime)
 
     def stop(self) -> None:
-        """End the relay's threads."""
+        """Stop the relay's threads."""
         self._relay.stop()
 
     def heartbeat(self, body: bytes) -> Response:
         """The response to a worker's heartbeat.
 
-        Raises ProtocolError for a malformed one, which every node refuses alike.
+        Raises ProtocolError for a malformed heartbeat, on every node.
         """
         self._on_heartbeat()
         header = workers.decode_heartbeat_header(body)
@@ -62,7 +64,7 @@
         return self._close_when_nearly_full(self._heartbeat_to_shard(heartbeat, tasks, shard))
 
     def _unchanged_response(self, header: workers.HeartbeatHeader) -> bytes | None:
-        """The response to a heartbeat without changes, if it has come to the right node."""
+        """The fast-path response; None if another node or the scheduler must answer."""
         election = self._context.first_replica.election
         relayed_fraction = (
             election.current_relayed_fraction() if self._context.shard_map() is None else 0.0
@@ -80,14 +82,17 @@
 
     def _close_when_nearly_full(self, response: Response) -> Response:
         if self._context.shard_map() is not None and self._connections_nearly_full():
-            # This frees a connection for other workers: the next heartbeat opens another.
+            # Frees a connection for other workers; the next heartbeat opens a new one.
             response.headers["Connection"] = "close"
         return response
 
     def _heartbeat_without_shards(
         self, heartbeat: workers.Heartbeat, tasks: bytes, body: bytes
     ) -> Response:
-        """A machine reports to the leader, or to the relay that it is assigned to."""
+        """Answer a heartbeat in a cluster with one shard.
+
+        The machine must report to the leader or to its relay; any other node redirects it.
+        """
         replica = self._context.first_replica
         election = replica.election
         here = election.node_name
@@ -113,7 +118,10 @@
     def _heartbeat_to_shard(
         self, heartbeat: workers.Heartbeat, tasks: bytes, shard: int
     ) -> Response:
-        """A machine reports to the leader of its shard, and to nobody else."""
+        """Answer a heartbeat in a cluster with several shards.
+
+        The machine must report to the leader of its shard; any other node redirects it.
+        """
         replica = self._context.replicas.get(shard)
         if replica is None or self._context.is_led_elsewhere(replica):
             # The machine may have been handed off to a shard that this node leads.
@@ -127,7 +135,7 @@
         new_shard = decode(response.body).get("share")
         if new_shard is None:
             return response
-        # The machine was handed off: the leader of its shard names the new one.
+        # The machine was handed off: the response contains its new shard.
         replica = self._context.replicas.get(new_shard)
         return self._heartbeat_to_leader(replica, new_shard, heartbeat, tasks)
 
@@ -152,9 +160,9 @@
         return respond(421, workers.redirect_body(None if leader == here else leader))
 
     def relayed_heartbeats(self, body: bytes) -> Response:
-        """The responses to a relay's batch: to each heartbeat as if it had come here.
+        """Answer a relay's batch with the leader's response to each heartbeat.
 
-        All of them are queued for the scheduler before the first reply is waited for.
+        Queues all heartbeats for the scheduler before waiting for the first reply.
         """
         try:
             batch = peers.decode_heartbeat_batch(body)
@@ -174,7 +182,7 @@
         )
 
     def _submit_relayed(self, raw: msgspec.Raw) -> Response | Queue:
-        """A relayed heartbeat's response, or the queue to which the scheduler will reply."""
+        """Answer a relayed heartbeat at once, or queue it and return its reply queue."""
         reply_to = self._context.runtime.queue()
         if (
             self._context.is_led_elsewhere(self._context.first_replica)
@@ -197,7 +205,7 @@
         return reply_to
 
     def _relayed_reply(self, reply_to: Queue, deadline: float) -> Response:
-        """The scheduler's reply; 503 without one by the deadline."""
+        """The scheduler's reply to a relayed heartbeat; 503 if none arrives by ``deadline``."""
         try:
             left_s = max(0.0, deadline - self._context.runtime.now())
             status, body, _ = reply_to.get(timeout=left_s)
--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -1,4 +1,4 @@
-"""The threads that probe workers of the sample, and what follows for leadership."""
+"""Probes a sample of workers and hands over leadership if only a peer reaches workers."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from appleshift.connectivity.peer_reports import (
-    CUT_OFF_DELAY_S,
-    UNSURE_DELAY_S,
+    UNCERTAIN_CANDIDACY_DELAY_S,
+    UNREACHABLE_CANDIDACY_DELAY_S,
     PeerReport,
     PeerReports,
 )
@@ -20,22 +20,22 @@
 log = logging.getLogger(__name__)
 
 PROBE_THREADS = 3
-"""A probe through a partition takes its whole timeout: three at once establish it within
-one timeout."""
-ELECTION_CONTACT_S = 0.5
-"""A candidate had a contact within this time, or probes for one."""
-CONFIRM_TIMEOUT_S = 1.2
-"""How long a peer may take to confirm that it reaches workers."""
-CONFIRM_WORKERS = 2
-"""Workers that a peer probes, one after the other, before it answers."""
+"""A probe across a partition takes its whole timeout; three concurrent probes detect the
+partition within one timeout."""
+MAX_CANDIDATE_CONTACT_AGE_S = 0.5
+"""A candidate whose last contact is older than this probes a worker before its candidacy."""
+CONFIRMATION_TIMEOUT_S = 1.2
+"""Timeout of the call in which a peer confirms that it reaches workers."""
+MAX_CONFIRMATION_PROBES = 2
+"""Maximum thread_number of workers that a peer probes, one after the other, before it responds."""
 HAND_OVER_PAUSE_S = 1.0
-"""After a hand-over was requested, this long before the next check."""
-NO_CONTACT = -1.0
-"""The age of the last contact in a peer status: there was none so far."""
+"""Delay after a hand-over request before the next check."""
+NO_CONTACT_AGE_S = -1.0
+"""Age of the last contact in a peer status if there was none yet."""
 
 
 class ConnectivityMonitor:
-    """Monitors what one node reaches, whatever shards it leads."""
+    """Monitors which workers a node can reach, independently of the shards that it leads."""
 
     def __init__(
         self,
@@ -46,11 +46,12 @@
         peer_clients: dict[str, HttpCaller],
         runtime: Runtime,
     ) -> None:
-        """Take the node's functions; ``start`` begins to probe.
+        """Create the monitor from callbacks of the node; ``start`` starts the probes.
 
-        ``probe_worker``: whether the worker at an address answers. ``store_answers``: whether
-        the key-value store answered when it was asked last. ``is_leader``: whether this node
-        leads any shard. ``hand_over`` requests an orderly hand-over of what it leads.
+        ``probe_worker`` returns whether the worker at an address answers. ``store_answers``
+        returns whether the key-value store answered the last request. ``is_leader`` returns
+        whether this node leads any shard. ``hand_over`` requests an orderly hand-over of the
+        shards that this node leads. ``peer_clients`` holds a client for each peer by its name.
         """
         self.worker_contacts = WorkerContacts()
         self._peer_reports = PeerReports()
@@ -65,33 +66,33 @@
 
     def start(self) -> None:
         """Start the threads that probe workers."""
-        for number in range(PROBE_THREADS):
-            self._runtime.spawn(f"reach-{number}", self._run, number)
+        for thread_number in range(PROBE_THREADS):
+            self._runtime.spawn(f"reach-{thread_number}", self._run, thread_number)
 
     def stop(self) -> None:
-        """Let the threads end with their current probe."""
+        """Stop the threads; each of them ends after its current probe."""
         self._stop.set()
 
-    # -- evidence ----------------------------------------------------------------------
+    # -- contacts and peer reports --------------------------------------------------------
 
     def heartbeat_received(self) -> None:
-        """Note that a worker's heartbeat came to this node's own listener."""
+        """Record that a worker's heartbeat arrived at this node's listener."""
         self.worker_contacts.heartbeat_received(self._runtime.now())
 
     def own_connectivity(self, now: float) -> peers.PeerConnectivity:
-        """What this node reaches, for its peer status."""
+        """This node's connectivity, as sent in its peer status."""
         contacts = self.worker_contacts.summary(now)
         return peers.PeerConnectivity(
-            NO_CONTACT if contacts.age_s is None else contacts.age_s,
+            NO_CONTACT_AGE_S if contacts.age_s is None else contacts.age_s,
             contacts.uninterrupted_s,
             self._store_answers(),
         )
 
     def peer_status_received(self, peer: str, status: peers.PeerStatus, now: float) -> None:
-        """Take in what a peer reaches, and from a leader the sample of workers."""
+        """Store the connectivity in a peer's status, and a leader's sample of workers."""
         connectivity = status.connectivity
         if connectivity is None:
-            # A peer of an older version, which does not send it.
+            # The peer has an older version, which does not send its connectivity.
             self._peer_reports.remove(peer)
         else:
             self._peer_reports.update(peer, _report(connectivity, now))
@@ -99,22 +100,23 @@
             if status.worker_sample:
                 self.worker_contacts.set_sample(status.worker_sample)
             elif connectivity is not None:
-                # A leader that no worker reaches still names those that once did: this one
-                # has no workers.
+                # A leader that no worker reaches still sends the workers that reached it
+                # before, so a leader with an empty sample has no workers.
                 self.worker_contacts.clear()
 
     def peer_restarted(self, peer: str) -> None:
-        """Drop what an earlier process of a peer reported."""
+        """Remove the report of a peer's previous process."""
         self._peer_reports.remove(peer)
 
-    # -- probes ------------------------------------------------------------------------
+    # -- probes --------------------------------------------------------
 
-    def _run(self, number: int) -> None:
-        """Probe workers until the monitor is stopped; the first thread checks for hand-over."""
-        is_first = not number
+    def _run(self, thread_number: int) -> None:
+        """Probe workers until the monitor stops; thread 0 also checks for a hand-over."""
+        is_first = not thread_number
         while not self._stop.is_set():
             now = self._runtime.now()
-            # Without misses one thread is enough; a leader receives heartbeats all the time.
+            # One thread is enough without unanswered probes. A leader uses all threads: it
+            # receives heartbeats all the time and rarely probes.
             if is_first or self._is_leader() or self.worker_contacts.has_unanswered_probes():
                 address = self.worker_contacts.next_to_probe(now)
                 if address is not None:
@@ -129,10 +131,10 @@
         self.worker_contacts.record_probe(address, sent, self._runtime.now(), answered)
         return answered
 
-    # -- what follows for leadership -----------------------------------------------------
+    # -- consequences for leadership --------------------------------------------------------
 
     def _check_hand_over(self) -> None:
-        """Hand over what this node leads if workers reach a peer and not this node."""
+        """Hand over the shards that this node leads if only a peer reaches workers."""
         lost = self.worker_contacts.workers_unreachable()
         if lost != self._workers_lost:
             self._workers_lost = lost
@@ -149,18 +151,18 @@
                 return
 
     def _peer_confirms(self, peer: str) -> bool:
-        """Whether a peer reaches a worker and the key-value store right now.
+        """Whether a peer confirms that it reaches a worker and the key-value store now.
 
-        A peer that waits on an open watch learns late that it is cut off from the store; to
-        hand over to it would leave nobody entitled.
+        A peer with an open watch detects late that it is cut off from the store. After a
+        hand-over to such a peer, no node would hold a valid leader lease.
         """
         request = encode(
-            peers.ConnectivityRequest([*self.worker_contacts.sample[:CONFIRM_WORKERS]])
+            peers.ConnectivityRequest([*self.worker_contacts.sample[:MAX_CONFIRMATION_PROBES]])
         )
         try:
             client = self._peer_clients[peer]
             status, body = client.request(
-                "POST", peers.CONNECTIVITY_PATH, request, CONFIRM_TIMEOUT_S
+                "POST", peers.CONNECTIVITY_PATH, request, CONFIRMATION_TIMEOUT_S
             )
             return status == 200 and peers.decode_connectivity_reply(body).reached
         except (ClientError, ProtocolError) as error:
@@ -168,25 +170,25 @@
             return False
 
     def candidacy_delay_s(self) -> float:
-        """For how long this node leaves a free leader key to its peers, in seconds.
+        """Seconds for which this node leaves a free leader key to its peers.
 
-        Asked by the election's thread before each try: without trouble it had a contact
-        a moment ago, or a worker answers within milliseconds.
+        The election's thread calls this before each candidacy. It is fast in normal operation:
+        there is a recent contact, or a worker answers the probe within milliseconds.
         """
         now = self._runtime.now()
         contacts = self.worker_contacts
         address = contacts.next_in_sample()
-        if address is None or contacts.had_contact_within(now, ELECTION_CONTACT_S):
+        if address is None or contacts.had_contact_within(now, MAX_CANDIDATE_CONTACT_AGE_S):
             return 0.0
         if not contacts.workers_unreachable() and self._probe(address):
             return 0.0
         now = self._runtime.now()
-        others = self._peer_reports.reaching_workers(now, contacts.unanswered_since)
-        return CUT_OFF_DELAY_S if others else UNSURE_DELAY_S
+        reaching_peers = self._peer_reports.reaching_workers(now, contacts.unanswered_since)
+        return UNREACHABLE_CANDIDACY_DELAY_S if reaching_peers else UNCERTAIN_CANDIDACY_DELAY_S
 
 
 def _report(connectivity: peers.PeerConnectivity, now: float) -> PeerReport:
-    """A peer's connectivity, received now, as a report."""
+    """Convert the connectivity that a peer sent to a report received at ``now``."""
     age_s = connectivity.worker_contact_age_s
     contacts = ContactSummary(None if age_s < 0.0 else age_s, connectivity.uninterrupted_s)
     return PeerReport(now, contacts, connectivity.store_reachable)
--- a/appleshift/connectivity/peer_reports.py
+++ b/appleshift/connectivity/peer_reports.py
@@ -11,15 +11,15 @@
 
 from appleshift.connectivity.worker_contacts import MIN_UNINTERRUPTED_S, ContactSummary
 
-REPORT_VALID_S = 2.0
+MAX_REPORT_AGE_S = 2.0
 """An older peer report is ignored."""
 MAX_CONTACT_AGE_S = 2.5
 """Maximum age of the last contact of a peer that reaches workers: it probes a worker every
 second, and its report arrives within two thirds of a second."""
-UNSURE_DELAY_S = 1.8
+UNCERTAIN_CANDIDACY_DELAY_S = 1.8
 """How long a node with an unanswered probe waits for peers' reports before its candidacy: peers
 probe a worker every second, and their status arrives twice within this time."""
-CUT_OFF_DELAY_S = 3.0
+UNREACHABLE_CANDIDACY_DELAY_S = 3.0
 """How long a node that cannot reach workers leaves a free leader key to peers that can. This is
 longer than an election plus a slow response of the key-value store. If no peer has become
 leader after it, a leader that cannot reach workers is better than none."""
@@ -43,7 +43,7 @@
         interruption: a peer whose link flaps is not a suitable successor.
         """
         age_s = self.contacts.age_s
-        if now - self.received_at > REPORT_VALID_S or not self.store_answers or age_s is None:
+        if now - self.received_at > MAX_REPORT_AGE_S or not self.store_answers or age_s is None:
             return False
         if age_s > MAX_CONTACT_AGE_S or self.contacts.uninterrupted_s < MIN_UNINTERRUPTED_S:
             return False
--- a/appleshift/heartbeat_ingest/relay.py
+++ b/appleshift/heartbeat_ingest/relay.py
@@ -68,7 +68,7 @@
         self._waiting: deque[_PendingHeartbeat] = deque()
 
     def forward(self, leader: str, body: bytes) -> LeaderResponse:
-        """The leader's response to an encoded heartbeat; a 503 response if the call fails or times out."""
+        """The leader's response to a heartbeat; status 503 if the call fails or times out."""
         entry = _PendingHeartbeat(leader, body, self._runtime.queue())
         with self._lock:
             is_first = not self._waiting
