--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         probe_worker: Callable[[str], bool],
-        store_answers: Callable[[], bool],
+        is_store_reachable: Callable[[], bool],
         is_leader: Callable[[], bool],
         hand_over: Callable[[], None],
         peer_clients: dict[str, HttpCaller],
@@ -48,7 +48,7 @@
     ) -> None:
         """Create the monitor from callbacks of the node; ``start`` starts the probes.
 
-        ``probe_worker`` returns whether the worker at an address answers. ``store_answers``
+        ``probe_worker`` returns whether the worker at an address answers. ``is_store_reachable``
         returns whether the key-value store answered the last request. ``is_leader`` returns
         whether this node leads any shard. ``hand_over`` requests an orderly hand-over of the
         shards that this node leads. ``peer_clients`` holds a client for each peer by its name.
@@ -56,7 +56,7 @@
         self.worker_contacts = WorkerContacts()
         self._peer_reports = PeerReports()
         self._probe_worker = probe_worker
-        self._store_answers = store_answers
+        self._is_store_reachable = is_store_reachable
         self._is_leader = is_leader
         self._hand_over = hand_over
         self._peer_clients = peer_clients
@@ -85,7 +85,7 @@
         return peers.PeerConnectivity(
             NO_CONTACT_AGE_S if contacts.age_s is None else contacts.age_s,
             contacts.uninterrupted_s,
-            self._store_answers(),
+            self._is_store_reachable(),
         )
 
     def peer_status_received(self, peer: str, status: peers.PeerStatus, now: float) -> None:
--- a/appleshift/connectivity/peer_reports.py
+++ b/appleshift/connectivity/peer_reports.py
@@ -33,7 +33,7 @@
     """This node's time when the report arrived."""
     contacts: ContactSummary
     """The peer's contacts with workers."""
-    store_answers: bool
+    store_reachable: bool
     """Whether the key-value store answered the peer's last request."""
 
     def reaches_workers(self, now: float, since: float) -> bool:
@@ -43,7 +43,7 @@
         interruption: a peer whose link flaps is not a suitable successor.
         """
         age_s = self.contacts.age_s
-        if now - self.received_at > MAX_REPORT_AGE_S or not self.store_answers or age_s is None:
+        if now - self.received_at > MAX_REPORT_AGE_S or not self.store_reachable or age_s is None:
             return False
         if age_s > MAX_CONTACT_AGE_S or self.contacts.uninterrupted_s < MIN_UNINTERRUPTED_S:
             return False
