--- a/appleshift/counted_resources/__init__.py
+++ b/appleshift/counted_resources/__init__.py
@@ -1,5 +1,5 @@
-"""Counted resources: licenses and the like, counted across the whole cluster.
+"""Counted resources: resources such as licenses that are counted across the whole cluster.
 
-Loaded only where such resources are defined. Lower layers know this package
-by the protocols in ``placement/counted_resource_interfaces.py`` alone.
+Imported only where such resources are defined. Lower layers use this package only
+through the protocols in ``placement/counted_resource_interfaces.py``.
 """
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -1,6 +1,7 @@
-"""Counted resources as a part of the scheduler, for one term.
+"""The counted resources of one leader term.
 
-Implements ``coordination.counted.Units``; owned by the thread of the scheduler.
+Implements ``placement.counted_resource_interfaces.CountedResources``. Used only by the
+scheduler's thread.
 """
 
 from __future__ import annotations
@@ -34,14 +35,15 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 1.0
-"""Time alone changes what may be granted: turns, commitments, silence."""
-MAX_SHOWN = 400
-"""Jobs that an answer lists for each resource; 64 KiB must hold it."""
+STEP_INTERVAL_S = 1.0
+"""Seconds between placement passes while jobs lack units: earmarks, commitments and license
+reservations change with time alone."""
+MAX_JOBS_SHOWN = 400
+"""Most jobs that a response lists over all resources, so that it fits into 64 KiB."""
 
 
 class CountedResourceScheduler(Ledger):
-    """What is counted, and what goes to and comes from license servers."""
+    """Counts resources for the scheduler and keeps their reservations at license servers."""
 
     def __init__(
         self,
@@ -52,13 +54,17 @@
         token: int,
         wall: float,
     ) -> None:
-        """For one term; definitions that the log does not have yet are appended to it."""
+        """Define the resources for the leader term with fencing token ``token``.
+
+        Appends to the write-ahead log the definitions that differ from the recorded ones,
+        and the removal of recorded resources that are no longer defined.
+        """
         super().__init__(replayer.cluster)
         self.rules = rules
         self._write_ahead_log = write_ahead_log
-        self.audit_log = _follow_audit(replayer, write_ahead_log)
+        self.audit_log = _restore_audit_log(replayer, write_ahead_log)
         write_ahead_log.on_record_durable = self.audit_log.apply
-        self._next_look = 0.0
+        self._next_step_at = 0.0
         for definition in definitions:
             server = definition.server
             reservation = (
@@ -75,14 +81,17 @@
             write_ahead_log.append(records.counted_resource_record(name, None, wall))
 
     def begin_recovery(self) -> None:
-        """Before assignments are recovered: from now on each of them counts."""
+        """Count all assignments from now on; called before assignments are recovered."""
         self.cluster.counted_resources = self
         for job in self.cluster.jobs.values():
             if job.spec.counted_resources is not None:
                 job.counted_needs = self.needs_of(job.spec)
 
     def end_recovery(self) -> None:
-        """After that: what the servers may not know to be given back."""
+        """Return units to the license servers again that earlier terms may not have returned.
+
+        Called after all assignments have been recovered.
+        """
         reservations = [each.reservation for each in self.resources if each.reservation is not None]
         for name, attempt in self.audit_log.returned_attempts() if reservations else ():
             for reservation in reservations:
@@ -91,11 +100,11 @@
     # -- passes ------------------------------------------------------------------------
 
     def begin_pass(self, now: float) -> Allocator:
-        """Units in one placement pass."""
+        """Begin a placement pass at monotonic time ``now`` in seconds."""
         return Allocator(self, now, self.rules.starve_s)
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """By job index: how many of its tasks can hold what they need at once."""
+        """Return by job index how many of a job's tasks can hold their units at once."""
         return self.plan_allocation(
             [job for job in jobs if job.counted_needs and job.status == OPEN]
         )[0]
@@ -103,31 +112,31 @@
     # -- time --------------------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> bool:
-        """Whether time alone may have changed what can be granted."""
-        if now < self._next_look:
+        """Whether a placement pass is due because jobs lack units, every STEP_INTERVAL_S."""
+        if now < self._next_step_at:
             return False
-        self._next_look = now + LOOK_S
+        self._next_step_at = now + STEP_INTERVAL_S
         return bool(self.waiting_since)
 
     def reservation_requests(self, now: float) -> list[PendingReservationRequest]:
-        """Heartbeats to license servers that are due."""
-        served = [
+        """Return the heartbeats to license servers that are due."""
+        with_server = [
             (number, resource.reservation)
             for number, resource in enumerate(self.resources)
             if resource.reservation is not None and resource.reservation.may_send_request(now)
         ]
-        if not served:
+        if not with_server:
             return []
-        wanted = self._wanted()
-        found = []
-        for number, reservation in served:
-            want = min(self.resources[number].total, wanted[number])
-            if reservation.request_due(now, want):
-                found.append(reservation.next_request(now, want))
-        return found
-
-    def _wanted(self) -> Counter[int]:
-        """Units that open jobs could hold, were there enough of them."""
+        wanted = self._wanted_units()
+        requests = []
+        for number, reservation in with_server:
+            reserve = min(self.resources[number].total, wanted[number])
+            if reservation.request_due(now, reserve):
+                requests.append(reservation.next_request(now, reserve))
+        return requests
+
+    def _wanted_units(self) -> Counter[int]:
+        """Return the units by resource index that all tasks of open jobs need together."""
         wanted: Counter[int] = Counter()
         for job in self.cluster.jobs.values():
             for number, count in job.counted_needs if job.status == OPEN else ():
@@ -135,18 +144,23 @@
         return wanted
 
     def license_server_answered(
-        self, name: str, serial: int, standing: ReservationReply | None, now: float
+        self, name: str, serial: int, reply: ReservationReply | None, now: float
     ) -> bool:
-        """A license server's answer, or that there was none; true: look again."""
+        """Handle a license server's reply to a heartbeat, None if there was none.
+
+        Returns true if more units may be granted than before.
+        """
         number = self.names.get(name)
         reservation = self.resources[number].reservation if number >= 0 else None
-        return reservation is not None and reservation.reply_received(serial, standing, now)
+        return reservation is not None and reservation.reply_received(serial, reply, now)
 
-    # -- durable ------------------------------------------------------------------------
+    # -- snapshots ----------------------------------------------------------------------
 
     def definition_records(self) -> list[Record]:
-        # Time 0: no change, so no entry of the audit.
-        """Records that define the resources, for a snapshot."""
+        """Return the records that define the resources, for a snapshot.
+
+        Their time is 0, which adds no entry to the audit log: nothing has changed.
+        """
         return [
             records.counted_resource_record(each.name, to_record(each.definition), 0.0)
             for each in self.resources
@@ -154,35 +168,38 @@
         ]
 
     def unsaved_audit_entries(self) -> list[list[Any]]:
-        """Entries of the audit that no stored page holds yet."""
+        """Return the entries of the audit log that are not yet in a stored page."""
         self.audit_log.drop_saved_entries(self._write_ahead_log.header.audit_pages[2])
         return list(self.audit_log.tail)
 
     @property
     def audit_pages(self) -> int:
-        """Pages of the audit that are kept."""
+        """Number of pages of the audit log that are kept in the key-value store."""
         return self.rules.history_pages
 
-    # -- to look at ------------------------------------------------------------------------
+    # -- views for operators ---------------------------------------------------------------
 
     def view(self, now: float) -> dict[str, Any]:
-        """All resources, for operators."""
+        """Return the state of all resources for operators."""
         rows = [self.truncated_resource_view(number, now) for number in range(len(self.resources))]
         return {"resources": rows, "starving_after_s": self.rules.starve_s}
 
     def truncated_resource_view(self, number: int, now: float) -> dict[str, Any]:
-        """One resource as the ledger shows it, with what waits for it."""
+        """Return the state of one resource, with the jobs beyond its share of the list omitted."""
         row = self.resource_view(number, now)
-        most = max(1, MAX_SHOWN // max(1, len(self.resources)))
-        row["jobs_not_shown"] = max(0, len(row["jobs"]) - most)
-        row["jobs"] = row["jobs"][:most]
+        max_jobs = max(1, MAX_JOBS_SHOWN // max(1, len(self.resources)))
+        row["jobs_not_shown"] = max(0, len(row["jobs"]) - max_jobs)
+        row["jobs"] = row["jobs"][:max_jobs]
         return row
 
     def history(self, after: int) -> dict[str, Any]:
-        """The audit's entries above a number that no page holds yet, as many as an
-        answer takes, and which pages hold what came before."""
-        first, following, written = self._write_ahead_log.header.audit_pages
-        self.audit_log.drop_saved_entries(written)
+        """Return entries of the audit log that are not yet in a stored page.
+
+        Returns those with numbers above ``after``, as many as fit into a response, and the
+        range of the stored pages with the earlier entries.
+        """
+        first_page, end_page, written_entries = self._write_ahead_log.header.audit_pages
+        self.audit_log.drop_saved_entries(written_entries)
         entries: list[list[Any]] = []
         size = 0
         for entry in self.audit_log.tail:
@@ -193,20 +210,20 @@
                 break
             entries.append(entry)
         more = bool(entries) and entries[-1][0] + 1 < self.audit_log.next_number
-        return {"pages": [first, following], "entries": entries, "more": more}
+        return {"pages": [first_page, end_page], "entries": entries, "more": more}
 
 
-def _follow_audit(replayer: LogReplayer, write_ahead_log: WriteAheadLog) -> AuditLog:
-    """The audit log that followed the log, or a new one where nothing was counted yet."""
+def _restore_audit_log(replayer: LogReplayer, write_ahead_log: WriteAheadLog) -> AuditLog:
+    """Return the audit log that was replayed, or a new one if nothing was counted so far."""
     if isinstance(replayer.audit_log, AuditLog):
         return replayer.audit_log
-    trail = AuditLog(write_ahead_log.header.audit_pages[2])
+    audit_log = AuditLog(write_ahead_log.header.audit_pages[2])
     for job in replayer.cluster.jobs.values():
         if job.spec.counted_resources is not None:
-            trail.apply(records.job_record(job))
+            audit_log.apply(records.job_record(job))
     for (index, task), (attempt, machine, agent_epoch) in replayer.task_locations.items():
-        trail.apply([records.ASSIGN, index, attempt, machine, agent_epoch, [task, task]])
-    return trail
+        audit_log.apply([records.ASSIGN, index, attempt, machine, agent_epoch, [task, task]])
+    return audit_log
 
 
 def create_counted_resources(
@@ -216,10 +233,10 @@
     token: int,
     wall: float,
 ) -> CountedResourceScheduler | None:
-    """The counted resources of this term; None where nothing is counted.
+    """Return the counted resources of this leader term; None if nothing is counted.
 
-    A file decides, where it says anything; else what the log has in force, so
-    that a node without the file does not hand out what others count.
+    Definitions in the operator settings take precedence. Without any, the recorded
+    definitions apply, so that a leader without the settings file still counts resources.
     """
     rules = operator.seat_rules or CountedResourceRules()
     definitions = list(operator.seats)
@@ -235,6 +252,8 @@
         for team in definition.teams:
             if replayer.cluster.team_names.get(team.name) < 0:
                 log.error("resource %s: no such team: %s", definition.name, team.name)
-    part = CountedResourceScheduler(definitions, rules, replayer, write_ahead_log, token, wall)
-    # Without definitions it has written down that nothing is counted any more.
-    return part if definitions else None
+    counted_resources = CountedResourceScheduler(
+        definitions, rules, replayer, write_ahead_log, token, wall
+    )
+    # Without definitions, the constructor has recorded that nothing is counted any more.
+    return counted_resources if definitions else None
--- a/appleshift/counted_resources/display.py
+++ b/appleshift/counted_resources/display.py
@@ -1,4 +1,4 @@
-"""Counted resources on an operator's terminal."""
+"""Fetches counted resources and their audit log from a node, and formats them for a terminal."""
 
 from __future__ import annotations
 
@@ -12,62 +12,67 @@
 from appleshift.state.name_index import from_ranges
 
 HttpGet = Callable[[str], tuple[int, Any]]
-"""Asks a node for a path; returns status and body."""
+"""Sends a GET request for a path to a node; returns HTTP status and decoded body."""
 
 
 class UnusableResponseError(Exception):
-    """A node gave no usable answer; the message says which path and why."""
+    """A node's response was not usable; the message gives the path or entries and the reason."""
 
 
-def _get(ask: HttpGet, path: str) -> Any:
-    status, body = ask(path)
+def _get(http_get: HttpGet, path: str) -> Any:
+    status, body = http_get(path)
     if status != 200:
         reason = body.get("error", "") if isinstance(body, dict) else ""
         raise UnusableResponseError(f"{path}: {status} {reason}".rstrip())
     return body
 
 
-def fetch_resources(ask: HttpGet) -> dict[str, Any]:
-    """The resources as a node shows them now; UnusableResponseError if it does not."""
-    view: dict[str, Any] = _get(ask, "/seats")
+def fetch_resources(http_get: HttpGet) -> dict[str, Any]:
+    """Fetch the current state of the resources; UnusableResponseError if that fails."""
+    view: dict[str, Any] = _get(http_get, "/seats")
     return view
 
 
-def fetch_history(ask: HttpGet) -> Iterator[list[Any]]:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
-    """All entries of the audit that are kept, in order.
+def fetch_history(http_get: HttpGet) -> Iterator[list[Any]]:  # noqa: C901 - left whole: listed in docs/ROADMAP.md
+    """Fetch all entries of the audit log that are kept, in order.
 
-    Pages are written while this reads: what moved from the tail into a page
-    meanwhile is read there. A number that is missing is said, not passed over.
+    Pages may be written meanwhile: entries that move from the newest entries into a page
+    are then read from the page. Raises UnusableResponseError if an entry is missing.
     """
-    seen = -1
+    last_number = -1
     while True:
-        answer = _get(ask, f"/seats/after/{seen + 1}")
-        first, following = answer["pages"]
-        entries = answer["entries"]
-        gap = entries and entries[0][0] > seen + 1
-        if (gap or not entries) and following > first:
-            # The tail does not reach back to what was read last.
-            for page in range(first, following):
-                for entry in _get(ask, f"/seats/pages/{page}")["entries"]:
-                    if entry[0] > seen:
-                        if seen >= 0 and entry[0] > seen + 1:
+        response = _get(http_get, f"/seats/after/{last_number + 1}")
+        first_page, end_page = response["pages"]
+        entries = response["entries"]
+        is_gap = entries and entries[0][0] > last_number + 1
+        if (is_gap or not entries) and end_page > first_page:
+            # The newest entries begin after the last entry read: continue in the pages.
+            for page in range(first_page, end_page):
+                for entry in _get(http_get, f"/seats/pages/{page}")["entries"]:
+                    if entry[0] > last_number:
+                        if last_number >= 0 and entry[0] > last_number + 1:
                             raise UnusableResponseError(
-                                f"entries {seen + 1} to {entry[0] - 1} are gone"
+                                f"entries {last_number + 1} to {entry[0] - 1} are gone"
                             )
-                        seen = entry[0]
+                        last_number = entry[0]
                         yield entry
         for entry in entries:
-            if entry[0] > seen:
-                if seen >= 0 and entry[0] > seen + 1:
-                    raise UnusableResponseError(f"entries {seen + 1} to {entry[0] - 1} are gone")
-                seen = entry[0]
+            if entry[0] > last_number:
+                if last_number >= 0 and entry[0] > last_number + 1:
+                    raise UnusableResponseError(
+                        f"entries {last_number + 1} to {entry[0] - 1} are gone"
+                    )
+                last_number = entry[0]
                 yield entry
-        if not answer["more"]:
+        if not response["more"]:
             return
 
 
 def format_resources(view: dict[str, Any]) -> str:
-    """What is held, by team and by job, and how old the knowledge is."""
+    """Format a table of the resources with the units held by team and by job.
+
+    Notes below it list stale license servers and other conditions.
+    """
     rows = []
     notes = []
     for entry in view["resources"]:
@@ -102,31 +107,33 @@
                 teams or "-",
             ]
         )
-    heads = ["resource", "total", "may use", "held", "free", "waiting", "outside", "age", "teams"]
-    parts = [tabulate(rows, heads, tablefmt="plain")]
+    headers = ["resource", "total", "may use", "held", "free", "waiting", "outside", "age", "teams"]
+    sections = [tabulate(rows, headers, tablefmt="plain")]
     jobs = [[entry["name"], *job] for entry in view["resources"] for job in entry["jobs"]]
     if jobs:
-        parts.append(tabulate(jobs, ["resource", "job", "team", "held"], tablefmt="plain"))
+        sections.append(tabulate(jobs, ["resource", "job", "team", "held"], tablefmt="plain"))
     hidden = sum(entry["jobs_not_shown"] for entry in view["resources"])
     if hidden:
         notes.append(f"{hidden} more jobs hold seats")
-    return "\n\n".join([*parts, "\n".join(notes)] if notes else parts)
+    return "\n\n".join([*sections, "\n".join(notes)] if notes else sections)
 
 
 def format_entry(entry: list[Any]) -> str:
-    """One entry of the audit: number, UTC time, what happened."""
-    number, wall, kind, *about = entry
-    when = datetime.fromtimestamp(wall, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
+    """Format an entry of the audit log: number, UTC time, kind and details."""
+    number, wall, kind, *details = entry
+    timestamp = datetime.fromtimestamp(wall, UTC).strftime("%Y-%m-%dT%H:%M:%S.%f")[:-3] + "Z"
     if kind == DEFINE:
-        name, definition = about
-        told = "no longer counted" if definition is None else f"total {definition['total']}"
-        return f"{number} {when} define {name}: {told}"
-    job, ranges, attempt, machine, seats = about
+        name, definition = details
+        change = "no longer counted" if definition is None else f"total {definition['total']}"
+        return f"{number} {timestamp} define {name}: {change}"
+    job, ranges, attempt, machine, units_per_task = details
     tasks = from_ranges(ranges)
-    counts = ", ".join(f"{count * len(tasks)} {name}" for name, count in sorted(seats.items()))
-    return f"{number} {when} {kind} {counts}: {job}/{_short(ranges)}#{attempt} on {machine}"
+    counts = ", ".join(
+        f"{count * len(tasks)} {name}" for name, count in sorted(units_per_task.items())
+    )
+    return f"{number} {timestamp} {kind} {counts}: {job}/{_format_ranges(ranges)}#{attempt} on {machine}"
 
 
-def _short(ranges: list[int]) -> str:
+def _format_ranges(ranges: list[int]) -> str:
     pairs = zip(ranges[::2], ranges[1::2], strict=True)
     return ",".join(str(first) if first == last else f"{first}-{last}" for first, last in pairs)
--- a/appleshift/counted_resources/license_calls.py
+++ b/appleshift/counted_resources/license_calls.py
@@ -1,4 +1,4 @@
-"""Carries heartbeats to license servers, on a few threads of their own."""
+"""Sends heartbeats to license servers on a separate thread pool."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 log = logging.getLogger(__name__)
 
 THREAD_COUNT = 4
-"""Servers that are slow to answer must not keep the others waiting."""
+"""Threads for these calls; several, so that slow servers do not delay calls to the others."""
 
 
 class LicenseServerCalls:
-    """Sends what the leader's accounts ask; the outcome comes back as an event."""
+    """Sends the leader's reservation requests; each outcome is posted as an event."""
 
     def __init__(
         self,
@@ -34,38 +34,43 @@
         runtime: Runtime,
         may_call: Callable[[], bool],
     ) -> None:
-        """``may_call`` is asked right before each request."""
+        """``may_call`` is evaluated right before each request and prevents it if false."""
         self._post = post
         self._connect = connect
-        # Asked again right before a heartbeat leaves: a node that was frozen
-        # meanwhile may not lead any more. The server ignores its serial then,
-        # but a heartbeat that never leaves can confuse nobody.
+        # Evaluated right before a heartbeat is sent, since a node that was paused since the
+        # request was queued may no longer be the leader. The server would ignore the
+        # outdated serial, but it is safer not to send the heartbeat at all.
         self._may_call = may_call
         self._pool = ThreadPool(runtime, "licence-call", THREAD_COUNT)
         self._clients: dict[str, HttpCaller] = {}
 
-    def send(self, ask: PendingReservationRequest, term: Any) -> None:
-        """Send a request on the pool; its reply comes back as an event of the term."""
-        client = self._clients.get(ask.address)
+    def send(self, request: PendingReservationRequest, term: Any) -> None:
+        """Queue a request for sending; its reply is posted as an event of the term.
+
+        The reply is None if there was no usable one.
+        """
+        client = self._clients.get(request.address)
         if client is None:
-            client = self._clients[ask.address] = self._connect(split_address(ask.address))
-        self._pool.submit(self._send, client, ask, term)
+            client = self._clients[request.address] = self._connect(split_address(request.address))
+        self._pool.submit(self._send, client, request, term)
 
-    def _send(self, client: HttpCaller, ask: PendingReservationRequest, term: Any) -> None:
-        standing: license_server.ReservationReply | None = None
+    def _send(self, client: HttpCaller, request: PendingReservationRequest, term: Any) -> None:
+        reply: license_server.ReservationReply | None = None
         try:
             if self._may_call():
-                path = license_server.reservation_path(ask.resource)
-                body = license_server.encode_reservation_request(ask.heartbeat)
-                status, answer = client.request("POST", path, body, REPLY_TIMEOUT_S)
+                path = license_server.reservation_path(request.resource)
+                body = license_server.encode_reservation_request(request.heartbeat)
+                status, response_body = client.request("POST", path, body, REPLY_TIMEOUT_S)
                 if status == 200:
-                    standing = license_server.decode_reservation_reply(answer)
+                    reply = license_server.decode_reservation_reply(response_body)
                 else:
-                    log.info("licence server of %s: status %d", ask.resource, status)
+                    log.info("licence server of %s: status %d", request.resource, status)
         except (ClientError, ProtocolError) as error:
-            log.info("licence server of %s: %s", ask.resource, error)
-        self._post(events.LicenseServerAnswered(term, ask.resource, ask.heartbeat.serial, standing))
+            log.info("licence server of %s: %s", request.resource, error)
+        self._post(
+            events.LicenseServerAnswered(term, request.resource, request.heartbeat.serial, reply)
+        )
 
     def stop(self) -> None:
-        """Drop waiting requests; those under way end by their timeouts."""
+        """Drop queued requests; requests in progress end by their timeouts."""
         self._pool.stop()
