--- a/appleshift/counted_resources/display.py
+++ b/appleshift/counted_resources/display.py
@@ -131,7 +131,10 @@
     counts = ", ".join(
         f"{count * len(tasks)} {name}" for name, count in sorted(units_per_task.items())
     )
-    return f"{number} {timestamp} {kind} {counts}: {job}/{_format_ranges(ranges)}#{attempt} on {machine}"
+    return (
+        f"{number} {timestamp} {kind} {counts}: "
+        f"{job}/{_format_ranges(ranges)}#{attempt} on {machine}"
+    )
 
 
 def _format_ranges(ranges: list[int]) -> str:
