--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -7,7 +7,7 @@
 from appleshift.protocol import users, workers
 from appleshift.protocol.wire import encode
 from appleshift.protocol.workers import Heartbeat
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.entities import Machine
 
 
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -18,7 +18,7 @@
 from appleshift.placement.admission import rejection
 from appleshift.protocol import users
 from appleshift.protocol.users import Submission
-from appleshift.scheduler.interfaces import ReplyingScheduler
+from appleshift.scheduler.scheduler_interfaces import ReplyingScheduler
 from appleshift.state.entities import Job
 from appleshift.state.states import CANCELLED, FINISHED, FORWARDED, OPEN
 from appleshift.storage import records
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -6,7 +6,7 @@
 
 from appleshift.contracts.actions import DeleteMachines
 from appleshift.protocol import cloud
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.entities import Machine
 from appleshift.storage import records
 
--- a/appleshift/scheduler/periodic_checks.py
+++ b/appleshift/scheduler/periodic_checks.py
@@ -5,7 +5,7 @@
 import logging
 
 from appleshift.dispatch.worker_commands import RESEND_INTERVAL_S
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.scheduler.snapshot_trigger import SnapshotTrigger
 from appleshift.state.entities import Job
 
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -7,7 +7,7 @@
 from appleshift.placement.first_fit import FirstFitPlacer
 from appleshift.placement.fit import stop_grace_s
 from appleshift.placement.result import Placement
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.entities import Machine, TaskRun
 from appleshift.storage import records
 
--- a/appleshift/scheduler/reconciliation.py
+++ b/appleshift/scheduler/reconciliation.py
@@ -10,7 +10,7 @@
 
 from appleshift.protocol import workers
 from appleshift.protocol.workers import Heartbeat, TaskStatus
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.entities import Machine, TaskRun
 from appleshift.state.states import ASSIGNED, CANCELLED, EXITED, RUN_STATES, RUNNING, WAITING
 
--- a/appleshift/scheduler/snapshot_trigger.py
+++ b/appleshift/scheduler/snapshot_trigger.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Any
 
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.storage import records
 
 log = logging.getLogger(__name__)
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.states import CANCELLED, UP
 from appleshift.storage.records import LogReplayer
--- a/appleshift/scheduler/task_termination.py
+++ b/appleshift/scheduler/task_termination.py
@@ -9,7 +9,7 @@
 import logging
 from functools import partial
 
-from appleshift.scheduler.interfaces import FullSchedulerView
+from appleshift.scheduler.scheduler_interfaces import FullSchedulerView
 from appleshift.state.entities import Job, TaskRun
 from appleshift.state.states import ASSIGNED, EXITED, FINISHED, OPEN
 from appleshift.storage import records
--- a/appleshift/sharding/interfaces.py
+++ b/appleshift/sharding/interfaces.py
@@ -6,7 +6,7 @@
 
 from appleshift.heartbeat_ingest.fast_path import FastPath
 from appleshift.machines.fleet import Fleet
-from appleshift.scheduler.interfaces import ReplyingScheduler
+from appleshift.scheduler.scheduler_interfaces import ReplyingScheduler
 from appleshift.state.entities import Job
 
 SUMMARY_INTERVAL_S = 1.0
