--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -17,7 +17,7 @@
 
 from appleshift.protocol import users
 from appleshift.protocol.sharding import ArrayPartition, PartitionRequest, PartitionStatus
-from appleshift.sharding.interfaces import ShardScheduler
+from appleshift.sharding.shard_scheduler_interface import ShardScheduler
 from appleshift.state.entities import Job, partition_key
 from appleshift.state.name_index import from_ranges, to_ranges
 from appleshift.state.states import CANCELLED, FINISHED, OPEN
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -20,10 +20,10 @@
     ShardSummary,
     UnmetNeed,
 )
-from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap
 from appleshift.sharding.shard_reporter import unmet_needs
+from appleshift.sharding.shard_scheduler_interface import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.state.entities import Machine
 from appleshift.state.states import UP as MACHINE_UP
 
--- a/appleshift/sharding/machine_transfer.py
+++ b/appleshift/sharding/machine_transfer.py
@@ -14,7 +14,7 @@
 import logging
 
 from appleshift.protocol.sharding import TransferredMachine
-from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
+from appleshift.sharding.shard_scheduler_interface import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.state.handed_off_machines import HandedOffMachine
 from appleshift.storage import records
 
--- a/appleshift/sharding/shard_reporter.py
+++ b/appleshift/sharding/shard_reporter.py
@@ -24,8 +24,8 @@
 )
 from appleshift.provisioning.pool import CapacityPool
 from appleshift.provisioning.shortages import capacity_need_for
-from appleshift.sharding.interfaces import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
+from appleshift.sharding.shard_scheduler_interface import MAX_MACHINES_PER_CALL, ShardScheduler
 from appleshift.state.cluster_state import ClusterState
 from appleshift.state.states import UP as MACHINE_UP
 
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -19,10 +19,10 @@
 from appleshift.protocol.users import Submission
 from appleshift.sharding.array_partitions import ArrayPartitions
 from appleshift.sharding.fleet_summary import FleetSummary
-from appleshift.sharding.interfaces import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.sharding.machine_transfer import MachineTransfer
 from appleshift.sharding.shard_map import ShardMap, is_pinned_to_first_shard
 from appleshift.sharding.shard_reporter import ShardReporter
+from appleshift.sharding.shard_scheduler_interface import SUMMARY_INTERVAL_S, ShardScheduler
 from appleshift.state.entities import Job, Machine
 from appleshift.state.resources import type_fits
 from appleshift.storage.records import Record
