--- a/appleshift/api/context.py
+++ b/appleshift/api/context.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from appleshift.api.interfaces import ShardMapView, ShardReplicaView
 from appleshift.api.responses import SchedulerReply, unavailable
+from appleshift.api.shard_interfaces import ShardMapView, ShardReplicaView
 from appleshift.contracts import events
 from appleshift.transport.client import HttpCaller
 from appleshift.transport.concurrency import Runtime
--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -7,8 +7,8 @@
 
 from appleshift.api.context import ApiContext
 from appleshift.api.freshness import ResponseFreshness
-from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import unavailable
+from appleshift.api.shard_interfaces import ShardReplicaView
 from appleshift.transport.client import ClientError, HttpCaller
 from appleshift.transport.http_messages import Request, Response
 
--- a/appleshift/api/freshness.py
+++ b/appleshift/api/freshness.py
@@ -12,8 +12,8 @@
 from __future__ import annotations
 
 from appleshift.api.context import ApiContext
-from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import SchedulerReply, respond, unavailable
+from appleshift.api.shard_interfaces import ShardReplicaView
 from appleshift.leader_election.leader_lease import CLOCK_DRIFT_RATIO
 from appleshift.protocol import users
 from appleshift.transport.client import HttpResponse
--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -10,10 +10,10 @@
 from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
 from appleshift.api.freshness import ResponseFreshness
-from appleshift.api.interfaces import ShardMapView, ShardReplicaView
 from appleshift.api.operator_endpoints import COUNTED_RESOURCES_PATH, OperatorEndpoints
 from appleshift.api.peer_endpoints import PeerEndpoints
 from appleshift.api.responses import refuse_method, respond
+from appleshift.api.shard_interfaces import ShardMapView, ShardReplicaView
 from appleshift.api.user_endpoints import JOBS_PATH, UserEndpoints
 from appleshift.api.worker_endpoints import WorkerEndpoints
 from appleshift.contracts import events
--- a/appleshift/api/user_endpoints.py
+++ b/appleshift/api/user_endpoints.py
@@ -9,8 +9,8 @@
 from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
 from appleshift.api.freshness import ResponseFreshness
-from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import respond, unavailable
+from appleshift.api.shard_interfaces import ShardReplicaView
 from appleshift.contracts import events
 from appleshift.protocol import users
 from appleshift.protocol.wire import ProtocolError, decode
--- a/appleshift/api/worker_endpoints.py
+++ b/appleshift/api/worker_endpoints.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from appleshift.api.context import MAX_QUEUE_LOAD, ApiContext
-from appleshift.api.interfaces import ShardReplicaView
 from appleshift.api.responses import respond, unavailable
+from appleshift.api.shard_interfaces import ShardReplicaView
 from appleshift.contracts import events
 from appleshift.heartbeat_ingest import relay_assignment
 from appleshift.heartbeat_ingest.relay import HeartbeatRelay
