--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -13,7 +13,7 @@
 
 CONTENT_TYPE = "application/msgpack"
 """Content type of every request body."""
-RETRY_AFTER_HEADER, VALID_FOR_HEADER = b"retry-after", b"valid-for-ms"
+RETRY_AFTER_HEADER, LOWERCASE_VALID_FOR_HEADER = b"retry-after", b"valid-for-ms"
 """Names of the response header fields that are kept, in lower case."""
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 """Largest response accepted, with its head. Listings and logs are long, but no valid response
@@ -70,7 +70,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
-        if key in (RETRY_AFTER_HEADER, VALID_FOR_HEADER):
+        if key in (RETRY_AFTER_HEADER, LOWERCASE_VALID_FOR_HEADER):
             self.headers[key] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
@@ -88,7 +88,7 @@
             self.parser.get_status_code(),
             b"".join(self.body_parts),
             self.headers.get(RETRY_AFTER_HEADER),
-            self.headers.get(VALID_FOR_HEADER),
+            self.headers.get(LOWERCASE_VALID_FOR_HEADER),
         )
 
 
