--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -208,16 +208,16 @@
 
     # -- task attempts --------------------------------------------------------------------
 
-    def stop_run(self, run: TaskRun, grace: float, reason: str) -> None:
-        """Order a task to stop within ``grace`` seconds.
+    def stop_run(self, run: TaskRun, grace_s: float, reason: str) -> None:
+        """Order a task to stop within ``grace_s`` seconds.
 
         A repeated order only takes effect if its grace is shorter.
         """
-        self._task_termination.stop(run, grace, reason)
+        self._task_termination.stop(run, grace_s, reason)
 
-    def stop_gang(self, job: Job, grace: float, reason: str) -> None:
+    def stop_gang(self, job: Job, grace_s: float, reason: str) -> None:
         """Order all tasks of a gang to stop at the same time, or their checkpoint fails."""
-        self._task_termination.stop_all(job, grace, reason)
+        self._task_termination.stop_all(job, grace_s, reason)
 
     def free_runs(self, runs: list[TaskRun], exited: bool) -> None:
         """Record that task attempts no longer run on their machines.
