--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -85,7 +85,7 @@
         self.cluster.counted_resources = self
         for job in self.cluster.jobs.values():
             if job.spec.counted_resources is not None:
-                job.counted_needs = self.needs_of(job.spec)
+                job.counted_needs = self.needs_per_task(job.spec)
 
     def end_recovery(self) -> None:
         """Return units to the license servers again that earlier terms may not have returned.
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -149,7 +149,7 @@
 
     # -- CountedResourceTracker ----------------------------------------------
 
-    def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
+    def needs_per_task(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         """Return (resource index, count) for each resource that each task of a job needs.
 
         Resources without a definition are added as undefined ones.
@@ -170,7 +170,7 @@
     def max_concurrent_tasks(self, spec: Submission) -> int:
         """Return how many of a job's tasks can ever hold their units at the same time."""
         tasks = spec.tasks
-        for number, count in self.needs_of(spec):
+        for number, count in self.needs_per_task(spec):
             tasks = min(tasks, self.resources[number].planning_capacity() // count)
         return tasks
 
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -29,7 +29,7 @@
 class CountedResourceTracker(Protocol):
     """Tracks the use of resources counted across the whole cluster, such as licences."""
 
-    def needs_of(self, spec: Submission) -> tuple[tuple[int, int], ...]:
+    def needs_per_task(self, spec: Submission) -> tuple[tuple[int, int], ...]:
         """Return the counted resources that each task of a job holds: (resource, count)."""
         ...
 
@@ -107,7 +107,7 @@
         job.image = self.images.add(spec.image)
         job.zone = -1 if spec.zone is None else self.zones.add(spec.zone)
         if self.counted_resources is not None and spec.counted_resources is not None:
-            job.counted_needs = self.counted_resources.needs_of(spec)
+            job.counted_needs = self.counted_resources.needs_per_task(spec)
         self.jobs[index] = job
         self.job_by_id[job.key] = job
         if spec.gpus > 0:
