--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -174,7 +174,7 @@
             tasks = min(tasks, self.resources[number].planning_capacity() // count)
         return tasks
 
-    def assigned(self, run: TaskRun) -> None:
+    def on_assigned(self, run: TaskRun) -> None:
         """Count the units of a task run that was assigned."""
         job = run.job
         self.jobs_with_units[job.index] = job
@@ -188,7 +188,7 @@
             if resource.reservation is not None:
                 resource.reservation.checked_out(holder_name(run.name, run.attempt), count)
 
-    def freed(self, run: TaskRun) -> None:
+    def on_freed(self, run: TaskRun) -> None:
         """Free the units of a task run that is proven to be gone."""
         job = run.job
         if not job.runs:
--- a/appleshift/state/cluster_state.py
+++ b/appleshift/state/cluster_state.py
@@ -37,10 +37,10 @@
         """Return how many tasks of a job can ever hold their counted resources at the same time."""
         ...
 
-    def assigned(self, run: TaskRun) -> None:
+    def on_assigned(self, run: TaskRun) -> None:
         """Reserve the counted resources of a task that may be on a machine from now on."""
 
-    def freed(self, run: TaskRun) -> None:
+    def on_freed(self, run: TaskRun) -> None:
         """Release the counted resources of a task that is certainly on no machine any more."""
 
 
@@ -170,7 +170,7 @@
         team.cpus += job.spec.cpus
         team.gpus += job.spec.gpus
         if job.counted_needs and self.counted_resources is not None:
-            self.counted_resources.assigned(run)
+            self.counted_resources.on_assigned(run)
         return run
 
     def free(self, run: TaskRun) -> None:
@@ -190,7 +190,7 @@
         team.cpus -= job.spec.cpus
         team.gpus -= job.spec.gpus
         if job.counted_needs and self.counted_resources is not None:
-            self.counted_resources.freed(run)
+            self.counted_resources.on_freed(run)
 
     def max_rank_on_machines(self) -> int:
         """Return the largest priority rank among tasks that may be on machines; -1 if none."""
