--- a/appleshift/api/router.py
+++ b/appleshift/api/router.py
@@ -1,4 +1,4 @@
-"""Routes requests to the endpoints; bad requests and defects end no connection's thread."""
+"""Routes requests to the endpoints and converts exceptions to error responses."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from appleshift.api.context import ApiContext
 from appleshift.api.forwarding import Forwarder
 from appleshift.api.freshness import ResponseFreshness
+from appleshift.api.interfaces import ShardMapView, ShardReplicaView
 from appleshift.api.operator_endpoints import COUNTED_RESOURCES_PATH, OperatorEndpoints
 from appleshift.api.peer_endpoints import PeerEndpoints
 from appleshift.api.responses import refuse_method, respond
 from appleshift.api.user_endpoints import JOBS_PATH, UserEndpoints
-from appleshift.api.views import ShardMapView, ShardReplicaView
 from appleshift.api.worker_endpoints import WorkerEndpoints
 from appleshift.contracts import events
 from appleshift.protocol import peers, sharding, users
@@ -31,46 +31,51 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouterDependencies:
-    """What the endpoints need of their node; the defaults are those of a node without peers."""
+    """Dependencies of the endpoints; the defaults suit a node without peers."""
 
     replicas: Mapping[int, ShardReplicaView]
-    """By shard."""
+    """This node's replicas, by shard."""
     peer_clients: dict[str, HttpCaller]
-    """By the peer's name."""
-    post: Callable[[events.Event], None]
+    """Clients for the peers, by the peer's name."""
+    post_event: Callable[[events.Event], None]
     """Queues an event for the scheduler's thread."""
-    load: Callable[[], float]
-    """Length of the scheduler's queue, in multiples of what a node should have at most."""
+    queue_load: Callable[[], float]
+    """Returns the length of the scheduler's queue divided by the node's target maximum."""
     is_worker_reachable: Callable[[str], bool]
-    """Whether the worker at an address answers this node."""
+    """Returns whether the worker at an address answers this node."""
     runtime: Runtime
     store: KeyValueStore
     max_machines: Callable[[], int] = lambda: 0
-    """How many machines this node's connections have room for."""
+    """Returns the number of machines that the nodes have connections for."""
     own_status: Callable[[], peers.PeerStatus | None] = lambda: None
-    """This node's status for its peers."""
+    """Returns this node's status for its peers."""
     shard_map: Callable[[], ShardMapView | None] = lambda: None
-    """The shard map that this node goes by; None: there is one shard."""
-    is_crowded: Callable[[], bool] = lambda: False
-    """Whether the node's connections are nearly used up."""
-    heartbeat_received: Callable[[], None] = lambda: None
-    """Called for each heartbeat that a worker sends to this node."""
+    """Returns the shard map that this node uses; None if there is only one shard."""
+    connections_nearly_full: Callable[[], bool] = lambda: False
+    """Returns whether nearly all of the node's connections are in use."""
+    on_heartbeat: Callable[[], None] = lambda: None
+    """Called for each heartbeat that a worker sends to this node directly."""
 
 
 class RequestRouter:
-    """Routes of both listeners. Runs on the connections' threads."""
+    """Routes the requests of both listeners. Runs on the connections' threads."""
 
     def __init__(self, node: RouterDependencies) -> None:
-        """Create the endpoints of a node."""
+        """Create the node's endpoints."""
         context = ApiContext(
-            node.replicas, node.peer_clients, node.post, node.load, node.runtime, node.shard_map
+            node.replicas,
+            node.peer_clients,
+            node.post_event,
+            node.queue_load,
+            node.runtime,
+            node.shard_map,
         )
         freshness = ResponseFreshness(context)
         forwarder = Forwarder(
             context, freshness, lambda request: self._route(request, forwarded=True)
         )
         self._users = UserEndpoints(context, forwarder, freshness)
-        self._workers = WorkerEndpoints(context, node.is_crowded, node.heartbeat_received)
+        self._workers = WorkerEndpoints(context, node.connections_nearly_full, node.on_heartbeat)
         self._peers = PeerEndpoints(context, node.is_worker_reachable, node.own_status)
         self._operators = OperatorEndpoints(context, forwarder, node.store, node.max_machines)
         self._peer_routes: dict[tuple[str, str], Callable[[bytes], Response]] = {
@@ -82,27 +87,27 @@
         }
 
     def stop(self) -> None:
-        """End the endpoints' own threads."""
+        """Stop the threads of the endpoints."""
         self._workers.stop()
 
-    def public(self, request: Request) -> Response:
-        """Answer users, workers and health checks."""
-        return self._guarded(request, forwarded=False)
+    def handle_public(self, request: Request) -> Response:
+        """Answer a request on the public listener, from a user, worker or operator."""
+        return self._route_safely(request, forwarded=False)
 
-    def cluster(self, request: Request) -> Response:
-        """Answer peers: their own calls, and users' requests that they forward."""
+    def handle_cluster(self, request: Request) -> Response:
+        """Answer a peer: its own call, or a user's request that it forwards."""
         handler = self._peer_routes.get((request.method, request.path))
         if handler is not None:
             return handler(request.body)
-        return self._guarded(request, forwarded=True)
+        return self._route_safely(request, forwarded=True)
 
-    def _guarded(self, request: Request, forwarded: bool) -> Response:
+    def _route_safely(self, request: Request, forwarded: bool) -> Response:
         try:
             return self._route(request, forwarded)
         except ProtocolError as error:
             return respond(error.status, users.error_body(error.reason))
         except Exception:
-            # One bad request must not end a thread, nor stay without a response.
+            # A defect must neither end the connection's thread nor leave out the response.
             log.exception("request failed method=%s path=%s", request.method, request.path)
             return respond(500, users.error_body("internal error"))
 
@@ -130,7 +135,7 @@
         return respond(404, users.error_body("no such path"))
 
     def _route_job(self, rest: str, request: Request, forwarded: bool) -> Response:
-        """``rest``: the part of the path after the jobs' own, still quoted."""
+        """Route a request about a job; ``rest`` is the quoted path after ``JOBS_PATH``."""
         job_id, *action = unquote(rest).split("/")
         if not action:
             refused = refuse_method(request.method, "GET")
--- a/appleshift/counted_resources/ledger.py
+++ b/appleshift/counted_resources/ledger.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from appleshift.counted_resources.license_reservation import LicenseReservation
-from appleshift.protocol.counted_resources import CountedResourceDefinition, requested_counts
+from appleshift.protocol.counted_resources import CountedResourceDefinition, parse_requested_counts
 from appleshift.protocol.users import ARRAY, Submission
 from appleshift.protocol.wire import ProtocolError
 from appleshift.state.cluster_state import ClusterState
@@ -155,7 +155,7 @@
         Resources without a definition are added as undefined ones.
         """
         try:
-            requested = requested_counts(spec.counted_resources)
+            requested = parse_requested_counts(spec.counted_resources)
         except ProtocolError:
             # The job was accepted while no resources were counted, without this check.
             return ()
@@ -211,7 +211,7 @@
         Returns None if it can be.
         """
         try:
-            requested = requested_counts(spec.counted_resources)
+            requested = parse_requested_counts(spec.counted_resources)
         except ProtocolError as error:
             return error.status, error.reason
         team = self.cluster.team_names.get(spec.team)
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -24,7 +24,7 @@
 from appleshift.protocol.counted_resources import TRUST, LicenseServer
 from appleshift.protocol.license_server import (
     ACCOUNT,
-    MAX_RETURNS,
+    MAX_RETURNED_HOLDERS,
     ReservationReply,
     ReservationRequest,
 )
@@ -179,7 +179,7 @@
         self._last_request_at = now
         if self._first_request_at is None:
             self._first_request_at = now
-        returned = [*self._returning, *self._unconfirmed_returns][:MAX_RETURNS]
+        returned = [*self._returning, *self._unconfirmed_returns][:MAX_RETURNED_HOLDERS]
         reserve = max(wanted, sum(self._holders.values()) + self._returning_units)
         previous = self._min_unconfirmed_reserve
         self._min_unconfirmed_reserve = reserve if previous is None else min(previous, reserve)
--- a/appleshift/scheduler/heartbeat_requests.py
+++ b/appleshift/scheduler/heartbeat_requests.py
@@ -47,7 +47,7 @@
         is_newest = heartbeat.seq == machine.seq and heartbeat.fencing_token == token
         if tasks is not None and is_newest and not commands and machine.needs_no_commands():
             expected = (machine.agent_epoch, token, tasks, encode(response))
-            machine.fast_path_entry = scheduler.fast_path.remember(
+            machine.fast_path_entry = scheduler.fast_path.set_expected(
                 machine.name, expected, scheduler.now, heartbeat.seq
             )
 
