--- a/appleshift/leader_election/election.py
+++ b/appleshift/leader_election/election.py
@@ -21,7 +21,7 @@
 STORE_CHECK_TIMEOUT_S = 0.4
 MIN_RENEWAL_TIMEOUT_S = 0.3
 HAND_OVER_PAUSE_S = 1.5
-"""After a hand-over this node is no candidate for so long, so that another node is elected."""
+"""Time after a hand-over during which this node is no candidate, so that another is elected."""
 FOLLOW_RETRY_S = 0.1
 CANDIDACY_RETRY_S = 0.15
 STORE_RETRY_S = 0.2
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -107,10 +107,14 @@
         return now >= self._startup_hold_until or self._peers_not_leading.issuperset(self._peers)
 
     def begin_candidacy(self, now: float) -> bool:
-        """Become a candidate; return False if this node leads or has granted a valid vote."""
+        """Become a candidate unless this node leads or a vote of it may still be valid.
+
+        The vote may also have been granted by an earlier process of this node. Returns whether
+        this node is now a candidate.
+        """
         with self._lock:
-            bound = self._granted_vote is not None and now < self._granted_vote.until
-            if self.is_leader or bound or not self.startup_hold_expired(now):
+            vote_valid = self._granted_vote is not None and now < self._granted_vote.until
+            if self.is_leader or vote_valid or not self.startup_hold_expired(now):
                 return False
             self._is_candidate = True
             return True
@@ -161,13 +165,15 @@
     def record_vote(self, peer: str, sent_at: float, now: float, process_id: str = "") -> None:
         """Count a vote that a peer's process granted to a request sent at ``sent_at``.
 
-        The peer measures the vote's duration from receipt of the request, which is later.
+        The peer measures the vote's duration from its receipt of the request, so counting from
+        ``sent_at`` never exceeds it. The vote counts only if this node is entitled now, or if
+        process ``process_id`` of the peer already answered while this node was entitled.
         """
         with self._lock:
             same_process = bool(process_id) and self._peer_processes.get(peer) == process_id
             if not self.is_leader or not (same_process or self.may_answer(now)):
-                # This node's lease and votes had expired, and an earlier process of that peer
-                # may have been elected since.
+                # After this node's lease and votes had expired, an earlier process of the peer
+                # may have been elected. The peer's current process does not know that.
                 return
             self._votes_until[peer] = (
                 sent_at + self._vote_duration_s / CLOCK_DRIFT_RATIO - SAFETY_MARGIN_S
--- a/appleshift/leader_election/peer_monitor.py
+++ b/appleshift/leader_election/peer_monitor.py
@@ -61,7 +61,7 @@
         """Newest shard map version that a peer uses; 0: no peer uses a shard map."""
 
     def start(self) -> None:
-        """Start the threads."""
+        """Start one polling thread per peer."""
         for peer in self._peer_clients:
             self._runtime.spawn(f"peer-status-{peer}", self._poll_peer, peer)
 
--- a/appleshift/scheduler/job_requests.py
+++ b/appleshift/scheduler/job_requests.py
@@ -202,13 +202,13 @@
         return users.RUNNING if job.running() else users.PENDING
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """Return the last state of a job that users may have been sent.
+        """Return the final state of a job if users may already have been told that it ended.
 
-        That is its durable final state, PENDING if the job is open or another shard
-        decides about it, or None if the job is not known. Safe to call from any thread,
-        since it only reads single values.
+        Returns PENDING if the job has not ended, even if it runs, or if another shard decides
+        about it; None if the job is not known. Safe to call from any thread: each read of
+        shared state is a single lookup.
         """
-        # The order matters: an ended job enters final_states before it is removed from job_by_id.
+        # job_by_id is read first: an ended job enters final_states before it leaves job_by_id.
         job = self._cluster.job_by_id.get(job_id)
         final_state = self._cluster.final_states.get(job_id)
         if final_state is not None:
--- a/appleshift/scheduler/machine_deletions.py
+++ b/appleshift/scheduler/machine_deletions.py
@@ -30,7 +30,7 @@
         return len(self._pending)
 
     def request(self, machines: list[Machine]) -> None:
-        """Queue machines for deletion; those of one step are deleted in one call if possible."""
+        """Queue machines for deletion; one call deletes all machines of a step if possible."""
         for machine in machines:
             machine.deletion_requested = True
             machine.retry_deletion_at = math.inf
@@ -61,11 +61,12 @@
         scheduler.placement_needed = True
 
     def _machine_deleted(self, machine: Machine) -> None:
+        """End the tasks of a machine that no longer exists, remove it and record its deletion."""
         scheduler = self._scheduler
         scheduler.agent_epoch_ended(machine)
         scheduler.cluster.remove_deleted_machine(machine)
         scheduler.fast_path.entries.pop(machine.name, None)
         scheduler.fleet.machine_deleted(machine)
         if machine.addr:
-            # A machine without an address never sent a heartbeat, so it has no record.
+            # The log has no record of a machine without an address: it never sent a heartbeat.
             scheduler.write_ahead_log.append(records.machine_deleted_record(machine))
--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -17,7 +17,7 @@
 The log is then left to the records that responses to users depend on.
 """
 MAX_HEARTBEAT_AGE_INTERVALS = 2.5
-"""Tasks are placed only on machines that were heard within this many heartbeat intervals."""
+"""Tasks are placed only on machines with a heartbeat within this many heartbeat intervals."""
 MAX_HEARTBEAT_AGE_MARGIN_S = 0.5
 """Added to the maximum heartbeat age, in seconds."""
 
@@ -51,7 +51,7 @@
     def _make_placer(self) -> FirstFitPlacer:
         scheduler = self._scheduler
         report_s = scheduler.settings.deployment.workers.report_s
-        heard_after = (
+        min_last_heartbeat = (
             scheduler.now - MAX_HEARTBEAT_AGE_INTERVALS * report_s - MAX_HEARTBEAT_AGE_MARGIN_S
         )
         counted = scheduler.counted_resources
@@ -59,7 +59,7 @@
             scheduler.cluster,
             scheduler.now,
             scheduler.wall_time,
-            heard_after,
+            min_last_heartbeat,
             scheduler.objectives,
             None if counted is None else counted.begin_pass(scheduler.now),
         )
@@ -88,7 +88,8 @@
 
     def _preempt(self, run: TaskRun) -> None:
         grace_s = stop_grace_s(run)
-        # The placer has already set the grace, because of which stop_run would ignore the order.
+        # The placer has already set the grace; stop_run ignores a task run with a grace, since
+        # that marks it as stopping.
         run.stop_grace_s = None
         if run.job.gang:
             self._scheduler.stop_gang(run.job, grace_s, "preempt")
--- a/appleshift/scheduler/scheduler.py
+++ b/appleshift/scheduler/scheduler.py
@@ -273,8 +273,8 @@
         if machine is None or heartbeat is None:
             return
         if machine.in_other_shard:
-            # The machine is up, although the shard that uses it has not reported that yet.
-            # Restart the boot timeout.
+            # The machine has booted, but the shard that owns it has not reported that yet.
+            # Restart the boot timeout, so that this shard does not delete the machine.
             machine.rented_at = self.now
         elif heartbeat.agent_epoch >= machine.agent_epoch:
             self.reconcile(machine, heartbeat)
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -47,9 +47,13 @@
 
 
 def _restore_machines(scheduler: FullSchedulerView) -> None:
+    """Mark all recorded machines as up, and restart their timeouts and leases.
+
+    A machine is recorded only once it has sent a heartbeat, so none of them is booting.
+    """
     for machine in scheduler.cluster.machines.values():
         machine.status = UP
-        # The previous leader may have renewed the lease until this term's election.
+        # The previous leader may have renewed the worker's lease until this term's election.
         machine.lease_until = scheduler.now + scheduler.worker_lease_s
         machine.idle_since = scheduler.now
         machine.rented_at = scheduler.now
