--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -104,7 +104,10 @@
         return Allocator(self, now, self.rules.starve_s)
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """Return by job index how many of a job's tasks can hold their units at once."""
+        """Return how many tasks of each job can hold their counted resources at once.
+
+        The result is by job index and has only the open jobs that need counted resources.
+        """
         return self.plan_allocation(
             [job for job in jobs if job.counted_needs and job.status == OPEN]
         )[0]
--- a/appleshift/placement/counted_resource_interfaces.py
+++ b/appleshift/placement/counted_resource_interfaces.py
@@ -69,7 +69,10 @@
         ...
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """Return, by job index, how many of a job's tasks can hold counted resources at once."""
+        """Return how many tasks of each job can hold their counted resources at once.
+
+        The result is by job index and has only the open jobs that need counted resources.
+        """
         ...
 
     def step(self, now: float, wall: float) -> bool:
--- a/appleshift/placement/eligible_machines.py
+++ b/appleshift/placement/eligible_machines.py
@@ -45,10 +45,13 @@
                 yield from machines
 
     def placement_key(self, job: Job) -> tuple[object, ...]:
-        """Return a key that is equal for jobs whose constraints allow the same machines."""
+        """Return a key that is equal for jobs whose constraints allow the same machines.
+
+        The key leaves out ``Job.avoided_machines``.
+        """
         spec = job.spec
-        gpu_machines = spec.gpus > 0 or spec.types is not None
-        return (tuple(self._cluster.eligible_types(job)), job.zone, spec.spot, gpu_machines)
+        allows_gpu_machines = spec.gpus > 0 or spec.types is not None
+        return (tuple(self._cluster.eligible_types(job)), job.zone, spec.spot, allows_gpu_machines)
 
     def allowed(self, job: Job, gpu_machines: bool = False) -> Iterator[Machine]:
         """Yield the machines that the job may use, with or without free capacity.
--- a/appleshift/placement/first_fit.py
+++ b/appleshift/placement/first_fit.py
@@ -40,9 +40,10 @@
         self._gangs = GangPlacer(self.placement_pass)
 
     def run(self, preempt: bool) -> PlacementResult:
-        """Place the tasks that fit; with ``preempt``, choose tasks to stop for the others.
+        """Place the pending tasks that fit, in order of urgency.
 
-        May be called only once.
+        With ``preempt``, also chooses tasks to stop so that others fit later. Tasks whose
+        counted resource was lowered are stopped in any case. May be called only once.
         """
         placement_pass = self.placement_pass
         placement_pass.preempt = preempt
--- a/appleshift/placement/preemption.py
+++ b/appleshift/placement/preemption.py
@@ -103,12 +103,16 @@
         return self._least_urgent_rank_for_gpus
 
     def _cannot_succeed(self, job: Job, key: tuple[object, ...], missing: int) -> bool:
-        """Return whether preemption already failed for a job as urgent that needs no more."""
+        """Return whether preemption already failed for an equally urgent job that needs no more."""
         return self._failures.covers(key, job.spec, missing if job.gang else 1)
 
     @staticmethod
     def _may_free_capacity(capacity: FreeableCapacity, job: Job) -> bool:
-        """Return whether a machine has a stopping task or one less urgent than the job."""
+        """Return whether capacity of a machine is becoming free or can be freed for the job.
+
+        That is so if one of its tasks is being stopped, or if a task that can be stopped is
+        less urgent than the job.
+        """
         return capacity.stopping or capacity.least_urgent_rank > job.rank
 
     def _useful_machines(self, job: Job, borrowers: set[int]) -> list[Machine]:
--- a/appleshift/placement/urgency.py
+++ b/appleshift/placement/urgency.py
@@ -81,7 +81,8 @@
 
         Within a priority, jobs that stay within guarantees come first and best-effort jobs
         last. Otherwise jobs that miss the fewest objectives come first, and among those
-        the jobs with the least work.
+        the jobs with the least work. Services miss no objectives and count as no work, so the
+        oldest comes first. A gang that may reserve machines counts as no work as well.
 
         Under overload some jobs are late in any order; placing the least work first
         minimizes their number, but a team with the largest jobs would always be late.
@@ -99,8 +100,8 @@
         if job.gang and self.should_reserve(job):
             work = 0.0
             if self.age_s(job) >= RESERVE_ALWAYS_AFTER_S:
-                # Otherwise new small gangs, some of which can always still be in time, would delay
-                # this gang forever.
+                # Otherwise this gang could wait forever, because new small gangs that can still
+                # meet their objectives would always come first.
                 missed, team_first = 0, True
         best_effort = self._objectives.is_best_effort(job)
         return (job.rank, borrows, best_effort, not team_first, missed, work, job.submitted)
