--- a/appleshift/machines/fleet.py
+++ b/appleshift/machines/fleet.py
@@ -99,7 +99,10 @@
             self.scheduler.placement_needed = True
 
     def job_arrived(self, spec: Submission, at: float) -> None:
-        """Record a job's demand for scaling out in advance, if its class has a wait objective."""
+        """Record what a job needs, if its class has a wait objective.
+
+        From these records the capacity plan predicts the jobs that arrive soon.
+        """
         accepted_wait_s = self.scheduler.objectives.max_wait_s(spec.job_class)
         if accepted_wait_s is not None:
             counted = self.cluster.counted_resources
@@ -176,15 +179,15 @@
         return self._spot_groups.names()
 
     def evict_spot_group(self, machine: Machine) -> None:
-        """Evict the spot group of a machine that was reclaimed or lost.
+        """Remove the spot group of a machine that was reclaimed or lost from the capacity plan.
 
-        The group's other machines are kept, but belong to no group. Does nothing for
-        on-demand machines.
+        The plan leaves out the group's market for a while. The group's other machines are
+        kept, but belong to no group. Does nothing for on-demand machines.
         """
         if not machine.spot:
             return
         if not self.plans_capacity and self.scheduler.sharding is not None:
-            # The spot groups are part of shard 0's capacity plan.
+            # Shard 0 plans capacity for all shards; report the loss to it.
             self.scheduler.sharding.machine_evicted(machine.type, machine.zone)
             return
         self.evict_market((machine.type, machine.zone))
@@ -196,7 +199,10 @@
     # -- deletion -----------------------------------------------------------------------
 
     def delete(self, machine: Machine, reason: str) -> None:
-        """Delete a machine and its tasks; the cloud's response proves that they are gone."""
+        """Request the deletion of a machine, unless it was already requested.
+
+        The machine's tasks count as ended only when the cloud confirms the deletion.
+        """
         if machine.deletion_requested:
             return
         log.info('deleting machine machine=%s reason="%s"', machine.name, reason)
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -205,16 +205,16 @@
         """Return the fraction of a job's replicas in a zone that may start in reachable zones."""
         if job.zone == zone:
             return 0.0
-        remaining = spread_allowance_per_zone(self._cluster, job)
-        if remaining is None:
+        allowances = spread_allowance_per_zone(self._cluster, job)
+        if allowances is None:
             return 1.0
         replicas = sum(run.machine.zone == zone for run in job.runs.values())
-        capacity_elsewhere = sum(
-            max(0, room)
-            for other, room in remaining.items()
+        allowed_elsewhere = sum(
+            max(0, allowance)
+            for other, allowance in allowances.items()
             if other != zone and other not in self.unreachable_zones
         )
-        return min(1.0, capacity_elsewhere / max(1, replicas))
+        return min(1.0, allowed_elsewhere / max(1, replicas))
 
     def probe_result(self, name: str, answered: bool) -> None:
         """Record whether the machine ``name`` answered a probe."""
--- a/appleshift/machines/shard_ownership.py
+++ b/appleshift/machines/shard_ownership.py
@@ -21,6 +21,8 @@
 def may_delete(machine: Machine) -> bool:
     """Whether this shard may delete a machine.
 
-    Once a machine is up, only the shard that owns it may delete it.
+    A shard may delete its own machines. It may delete a machine of another shard only while
+    that machine boots: shard 0 rents machines for all shards and watches them until they are
+    up.
     """
     return not machine.in_other_shard or machine.status == BOOTING
--- a/appleshift/machines/unreachable_zones.py
+++ b/appleshift/machines/unreachable_zones.py
@@ -39,11 +39,12 @@
         return self._reachable_again_at.get(zone, 0.0)
 
     def unconfirmed(self, up: dict[int, int], now: float) -> set[int]:
-        """Return the unreachable zones without machines that are up, for ``RETENTION_S`` at most.
+        """Return the zones that stay unreachable because they have no machines that are up.
 
         ``up`` is the number of machines that are up, by zone. A zone is reachable again when
-        most of its machines send heartbeats, not when all its silent machines were deleted:
-        124 machines were once rented too early.
+        most of its machines send heartbeats, but not because all its silent machines were
+        deleted: 124 machines were once rented too early for that reason. A zone without
+        machines counts as unreachable for ``RETENTION_S`` at most.
         """
         return {
             zone
@@ -71,9 +72,10 @@
     def may_rent_in(self, zone: int) -> bool:
         """Whether a machine may be rented in an unreachable zone to test if it is reachable again.
 
-        This is so if all machines of the zone were deleted or died: no heartbeat can then show
-        that the zone is back. Jobs that are bound to the zone once waited three minutes for that
-        reason alone.
+        True if the zone has been unreachable for ``RETRY_S`` and has no machines left except
+        those being deleted: no heartbeat can then show that it is reachable again. Without such
+        a test, jobs that are bound to the zone once waited three minutes. False for a zone that
+        is reachable, which needs no test.
         """
         since = self.unreachable_since.get(zone)
         if since is None or self._scheduler.now - since < RETRY_S:
@@ -100,8 +102,8 @@
     def _restart_timeouts(self, zone: int, now: float) -> None:
         """Restart the timeouts of the machines of a zone that is reachable again.
 
-        41 machines were once deleted in the second in which their zone came back, because of
-        the probes that they had not answered while it was unreachable.
+        Without this, 41 machines were once deleted within the second in which their zone became
+        reachable, because of the probes that they had not answered before.
         """
         self._reachable_again_at[zone] = now
         for machine in self._cluster.machines.values():
--- a/appleshift/provisioning/demand.py
+++ b/appleshift/provisioning/demand.py
@@ -74,7 +74,11 @@
 
 
 def _max_spread_tasks(pool: PoolView, job: Job) -> int:
-    """Return how many tasks of a job may run in the reachable zones."""
+    """Return how many tasks of a job its spread allows in the reachable zones.
+
+    A zone may run half of the tasks of a spread job, rounded up. The result is all tasks if the
+    job is not spread, and may exceed the number of tasks if it is.
+    """
     if not job.spec.spread:
         return job.spec.tasks
     return pool.reachable_zones * ((job.spec.tasks + 1) // 2)
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -20,9 +20,11 @@
 
 
 def rent_unclaimed(fleet: FleetView, on_demand_type: int, missing: float) -> None:
-    """Rent spot machines with GPUs once no market without GPUs has any machines left.
+    """Rent spot machines with GPUs, which no GPU job may use, for waiting jobs without GPUs.
 
-    ``missing`` is the missing capacity in machines of ``on_demand_type``, a type without GPUs.
+    Does so only if every market without GPUs had too few machines, and never in a cluster with
+    several shards. ``missing`` is the missing capacity in machines of ``on_demand_type``, a
+    type without GPUs.
     """
     cluster = fleet.cluster
     if fleet.scheduler.sharding is not None or not cluster.gpu_jobs_exclude_spot():
--- a/appleshift/state/entities.py
+++ b/appleshift/state/entities.py
@@ -27,7 +27,10 @@
 
 
 def partition_key(job_id: str) -> str:
-    """Return the key of a partition of a job; no job id submitted by a user can equal it."""
+    """Return the key of a job's partition in the shard that runs it.
+
+    It differs from the job id of every submission.
+    """
     return f"{job_id}+"
 
 
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -199,6 +199,7 @@
         # Current definitions of the counted resources, by name, as recorded.
         self.counted_resources: dict[str, Any] = {}
         self.spot_group_names: Any = None
+        # Final states that are recorded in the log, but not yet on a page of final states.
         self.unsaved_final_states: list[tuple[str, int]] = []
         # Time and specification of all submissions in the log, including those of ended jobs.
         self.submissions: list[tuple[float, Submission]] = []
@@ -206,12 +207,12 @@
         self.task_locations: dict[tuple[int, int], tuple[int, str, int]] = {}
 
     def apply_final_states(self, records: list[Record]) -> None:
-        """Apply a page of final states."""
+        """Apply a page of final states, each as (job id, final state)."""
         for job_id, status in records:
             self.cluster.final_states[job_id] = status
 
     def apply(self, records: list[Record]) -> None:
-        """Apply records in the order of the log."""
+        """Apply the records of a snapshot page or a log entry, in their order."""
         for record in records:
             self._apply(record)
 
@@ -279,6 +280,7 @@
         self.cluster.next_job_index = max(self.cluster.next_job_index, record[1])
 
     def _apply_final_state(self, record: Record) -> None:
+        """Apply a final state that is not yet on a page of final states."""
         _, job_id, final = record
         self.cluster.final_states[job_id] = final
         self.unsaved_final_states.append((job_id, final))
