--- a/appleshift/scheduler/placement_runner.py
+++ b/appleshift/scheduler/placement_runner.py
@@ -88,8 +88,8 @@
 
     def _preempt(self, run: TaskRun) -> None:
         grace_s = stop_grace_s(run)
-        # The placer has already set the grace; stop_run ignores a task run with a grace, since
-        # that marks it as stopping.
+        # The placer has already set the grace, and stop_run ignores an order whose grace is not
+        # shorter than the one already set.
         run.stop_grace_s = None
         if run.job.gang:
             self._scheduler.stop_gang(run.job, grace_s, "preempt")
--- a/appleshift/scheduler/state_restoration.py
+++ b/appleshift/scheduler/state_restoration.py
@@ -47,7 +47,7 @@
 
 
 def _restore_machines(scheduler: FullSchedulerView) -> None:
-    """Mark all recorded machines as up, and restart their timeouts and leases.
+    """Mark all recorded machines as up, and assume the latest possible end of their leases.
 
     A machine is recorded only once it has sent a heartbeat, so none of them is booting.
     """
