--- a/appleshift/api/shard_interfaces.py
+++ b/appleshift/api/shard_interfaces.py
@@ -31,7 +31,7 @@
         ...
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """The last job state that this node may have reported to users; None if unknown."""
+        """A job's final state, or PENDING if it has not ended; None if the job is unknown."""
         ...
 
     def view(self) -> dict[str, Any]:
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -115,7 +115,7 @@
     # -- time --------------------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> bool:
-        """Whether a placement pass is due because jobs lack units, every STEP_INTERVAL_S."""
+        """Return, once per STEP_INTERVAL_S, whether a job waits for units; False in between."""
         if now < self._next_step_at:
             return False
         self._next_step_at = now + STEP_INTERVAL_S
--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -5,8 +5,8 @@
 clock. Durations that another node measures as well are shortened by the clock drift ratio.
 
 Why votes suffice without the key-value store: while its lease is valid, the leader is the
-only one. If every peer grants it a vote while it is still entitled, no peer becomes a
-candidate before its vote expires. No node can therefore be elected before the earliest
+only one. A leader is entitled while its lease or a quorum of votes is valid. If every peer
+grants it a vote while it is still entitled, no peer becomes a candidate before its vote expires. No node can therefore be elected before the earliest
 vote expires, whatever the key-value store does. All peers must vote: a single missing vote
 voids the quorum. A restarted peer no longer has its vote in memory. It waits for the longest
 duration of a vote, unless all its peers report that they do not lead.
--- a/appleshift/machines/health.py
+++ b/appleshift/machines/health.py
@@ -134,8 +134,8 @@
     ) -> int:
         """Delete the lost machines among a zone's silent machines and probe the others.
 
-        In an unreachable zone only a few machines are probed to test if it is reachable again,
-        and all machines that run replicas. Returns the number of probes, ``max_probes`` at most.
+        In an unreachable zone, probes a few machines to test if it is reachable again, and all
+        machines that run replicas. Returns the number of probes, ``max_probes`` at most.
         """
         report_s = self._scheduler.settings.deployment.workers.report_s
         silent_s = max(self._scheduler.operator.silent_s, MIN_SILENT_INTERVALS * report_s)
@@ -160,7 +160,7 @@
     def _silent_for_s(self, machine: Machine, now: float) -> float:
         """Return for how many seconds a machine sent no heartbeats or received no commands.
 
-        Only time in this term and since its zone was last unreachable counts.
+        Counts from the start of this term, or from when its zone last became reachable again.
         """
         last_contact = min(
             machine.commands_unconfirmed_since or machine.last_contact_at, machine.last_contact_at
@@ -171,7 +171,7 @@
     def _is_lost(
         self, machine: Machine, machine_silent_s: float, silent_s: float, now: float
     ) -> bool:
-        """Whether to delete a silent machine now, which proves that its tasks are gone."""
+        """Whether to delete a silent machine now; its deletion proves that its tasks are gone."""
         if machine.zone in self.unreachable_zones:
             if runs_replicas(machine):
                 # Its zone is silent too, so one unanswered probe is sufficient.
--- a/appleshift/provisioning/unclaimed_gpu_machines.py
+++ b/appleshift/provisioning/unclaimed_gpu_machines.py
@@ -23,8 +23,8 @@
     """Rent spot machines with GPUs, which no GPU job may use, for waiting jobs without GPUs.
 
     Does so only if every market without GPUs had too few machines, and never in a cluster with
-    several shards. ``missing`` is the missing capacity in machines of ``on_demand_type``, a
-    type without GPUs.
+    a shard map. ``missing`` is the missing capacity in machines of ``on_demand_type``, a type
+    without GPUs.
     """
     cluster = fleet.cluster
     if fleet.scheduler.sharding is not None or not cluster.gpu_jobs_exclude_spot():
--- a/appleshift/shard_replica.py
+++ b/appleshift/shard_replica.py
@@ -287,7 +287,7 @@
         return found is not None and not found.in_other_shard
 
     def last_reported_state(self, job_id: str) -> str | None:
-        """Return a job's latest state reported to a user by this node; None if unknown."""
+        """Return a job's final state, or PENDING if it has not ended; None if it is unknown."""
         scheduler = self.scheduler
         return None if scheduler is None else scheduler.job_requests.last_reported_state(job_id)
 
--- a/appleshift/storage/records.py
+++ b/appleshift/storage/records.py
@@ -89,12 +89,12 @@
 
 
 def free_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    """Return records that tasks are certainly on no machine any more."""
+    """Return the records of tasks that are certainly on no machine any more."""
     return [[FREE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
 def done_records(job: Job, tasks: list[int], wall: float | None = None) -> list[Record]:
-    """Return records that tasks succeeded."""
+    """Return the records of tasks that succeeded."""
     return [[DONE, job.index, to_ranges(batch), *_time(job, wall)] for batch in _batches(tasks)]
 
 
@@ -109,7 +109,7 @@
 
 
 def cancel_record(job: Job) -> Record:
-    """Return the record that a job is cancelled."""
+    """Return the record of a job's cancellation."""
     return [CANCEL, job.index]
 
 
