--- a/appleshift/leader_election/leader_lease.py
+++ b/appleshift/leader_election/leader_lease.py
@@ -4,12 +4,13 @@
 another thread makes this node a candidate. All times are readings of this node's monotonic
 clock. Durations that another node measures as well are shortened by the clock drift ratio.
 
-Why votes suffice without the key-value store: while its lease is valid, the leader is the
-only one. A leader is entitled while its lease or a quorum of votes is valid. If every peer
-grants it a vote while it is still entitled, no peer becomes a candidate before its vote expires. No node can therefore be elected before the earliest
-vote expires, whatever the key-value store does. All peers must vote: a single missing vote
-voids the quorum. A restarted peer no longer has its vote in memory. It waits for the longest
-duration of a vote, unless all its peers report that they do not lead.
+Why votes suffice without the key-value store: while its lease is valid, the leader is the only
+one. A leader is entitled while its lease or a quorum of votes is valid. If every peer grants
+it a vote while it is still entitled, no peer becomes a candidate before its vote expires. No
+node can therefore be elected before the earliest vote expires, whatever the key-value store
+does. All peers must vote: a single missing vote voids the quorum. A restarted peer no longer
+has its vote in memory. It waits for the longest duration of a vote, unless all its peers
+report that they do not lead.
 
 If the leader's lease expired before it had all votes, a peer may have been elected in the
 meantime. A node elected with a newer fencing token refuses to vote for an older one for as
