--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -104,7 +104,10 @@
         return Allocator(self, now, self.rules.starve_s)
 
     def capped_tasks(self, jobs: Iterable[Job]) -> dict[int, int]:
-        """Return by job index how many of a job's tasks can hold their units at once."""
+        """Return how many tasks of each job can hold their counted resources at once.
+
+        The result is by job index and has only the open jobs that need counted resources.
+        """
         return self.plan_allocation(
             [job for job in jobs if job.counted_needs and job.status == OPEN]
         )[0]
@@ -112,7 +115,7 @@
     # -- time --------------------------------------------------------------------------
 
     def step(self, now: float, wall: float) -> bool:
-        """Whether a placement pass is due because jobs lack units, every STEP_INTERVAL_S."""
+        """Return, once per STEP_INTERVAL_S, whether a job waits for units; False in between."""
         if now < self._next_step_at:
             return False
         self._next_step_at = now + STEP_INTERVAL_S
