--- a/appleshift/api/operator_endpoints.py
+++ b/appleshift/api/operator_endpoints.py
@@ -41,7 +41,10 @@
         self._audit_rate = RateLimiter(context.runtime, AUDIT_PAGES_PER_S)
 
     def ready(self) -> Response:
-        """200 if this node can serve at least half of the shards that accept submissions."""
+        """200 if this node can serve at least half of the shards that accept submissions.
+
+        Otherwise 503.
+        """
         shard_map = self._context.shard_map()
         shards = [0] if shard_map is None else shard_map.submission_shards
         served = sum(
@@ -54,7 +57,10 @@
         return respond(200 if ready else 503, {"ready": ready})
 
     def nodes(self) -> Response:
-        """The leader and the relays, as known to this node, and a row for each shard."""
+        """The first shard's leader and the relays, as known to this node.
+
+        With a shard map, also a row for each shard.
+        """
         lease, election = self._context.first_replica.lease, self._context.first_replica.election
         body = {
             "name": election.node_name,
--- a/appleshift/api/peer_endpoints.py
+++ b/appleshift/api/peer_endpoints.py
@@ -31,7 +31,7 @@
         self._own_status = own_status
 
     def peer_status(self) -> Response:
-        """This node's peer status."""
+        """This node's state: whether it leads or relays, and its contacts with workers."""
         return respond(200, self._own_status())
 
     def lease_vote(self, body: bytes) -> Response:
--- a/appleshift/api/shard_interfaces.py
+++ b/appleshift/api/shard_interfaces.py
@@ -27,7 +27,10 @@
         ...
 
     def unchanged_response(self, heartbeat: workers.HeartbeatHeader, now: float) -> bytes | None:
-        """The response to an unchanged heartbeat; None if the scheduler must process it."""
+        """The response to a heartbeat that reports no change.
+
+        None if the scheduler must process the heartbeat, or this node may not answer it.
+        """
         ...
 
     def last_reported_state(self, job_id: str) -> str | None:
--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -126,6 +126,7 @@
             self._stop.wait(self.worker_contacts.pause_s(self._runtime.now()))
 
     def _probe(self, address: str) -> bool:
+        """Probe a worker and record the outcome; returns whether the worker answered."""
         sent = self._runtime.now()
         answered = self._probe_worker(address)
         self.worker_contacts.record_probe(address, sent, self._runtime.now(), answered)
--- a/appleshift/connectivity/worker_contacts.py
+++ b/appleshift/connectivity/worker_contacts.py
@@ -103,7 +103,11 @@
         self.record_contact(now)
 
     def record_contact(self, now: float) -> None:
-        """Record a contact: a worker answered a probe, or heartbeats arrive."""
+        """Record a contact: a worker answered a probe, or sent a heartbeat that counts as one.
+
+        Contacts are interrupted by a gap that is longer than a node without heartbeats takes
+        until its next probe has ended.
+        """
         if (
             self._last_contact is None
             or now - self._last_contact > PROBE_AFTER_S + IDLE_PROBE_INTERVAL_S + PROBE_TIMEOUT_S
