--- a/appleshift/counted_resources/allocator.py
+++ b/appleshift/counted_resources/allocator.py
@@ -40,12 +40,16 @@
 
     job: Job
     lacking_since: float
+    """Monotonic time since which the job has lacked units; of a commitment, that of the pass."""
     units: dict[int, int]
+    """By resource index."""
     is_committed: bool
+    """Whether task runs were stopped to free the units for the job (``ledger.Commitment``)."""
     initial_run_count: int
+    """Number of the job's task runs when the pass began."""
     limited_by_team: bool
-    """The job waits because of its own team's limit. Only jobs of that team yield to it,
-    since units that other teams left would stay idle."""
+    """The job waits because of its own team's limit. Only jobs of that team yield to it:
+    units that jobs of other teams left free for it would stay idle."""
 
     def is_started(self) -> bool:
         """Whether a task of the job was started in this pass; always False for a commitment."""
@@ -100,7 +104,7 @@
             needs = self._units_for_start(job)
             obtainable = {r: ledger.resources[r].capacity(now) - service_units[r] for r in needs}
             if any(count > obtainable[r] for r, count in needs.items()):
-                # Services hold what the job lacks and need never end. An earmark would
+                # Services, which may run forever, hold what the job lacks. An earmark would
                 # leave units of its other resources idle: a job that waited for a
                 # resource held by services once blocked three units of another for
                 # minutes.
@@ -113,7 +117,7 @@
         return earmarks
 
     def _units_held_by_services(self) -> Counter[int]:
-        """Return the units held by services, which need never end, by resource index."""
+        """Return the units held by services, which may run forever, by resource index."""
         service_units: Counter[int] = Counter()
         for job in self._ledger.jobs_with_units.values() if self._ledger.waiting_since else ():
             for number, count in job.counted_needs if job.service else ():
@@ -132,11 +136,16 @@
         return {number: count * tasks for number, count in job.counted_needs}
 
     def _must_yield(self, job: Job, earmark: Earmark) -> bool:
-        """Whether the job must leave the units of this earmark alone."""
-        ranks = max(0, earmark.job.rank - job.rank)
+        """Whether the job may not take the units that are earmarked for another job.
+
+        Units committed to a job are never taken. Other units earmarked for a less urgent job
+        may be taken until that job has waited longer, by ``STARVE_FACTOR_PER_RANK`` times
+        ``starve_s`` for each rank between the two.
+        """
+        ranks_between = max(0, earmark.job.rank - job.rank)
         waited = self._now - earmark.lacking_since
         return earmark.is_committed or waited >= self._starve_s * (
-            1.0 + STARVE_FACTOR_PER_RANK * ranks
+            1.0 + STARVE_FACTOR_PER_RANK * ranks_between
         )
 
     def _earmarked_units(self, job: Job, number: int) -> tuple[int, int]:
@@ -183,7 +192,10 @@
         return 0 if job.gang and most < len(job.pending) else most
 
     def would_borrow(self, job: Job) -> bool:
-        """Whether the job's next start would take its team beyond a guarantee."""
+        """Whether the job's next start would take its team beyond its guarantee of a resource.
+
+        Resources of which no team has a guarantee do not count.
+        """
         tasks = len(job.pending) if job.gang else 1
         resources = self._ledger.resources
         return any(
@@ -293,23 +305,26 @@
             def may_stop(run: TaskRun, borrowers: set[int] = borrowers) -> bool:
                 return run.job.rank > job.rank or run.job.team in borrowers
 
-            owed: Counter[int] = Counter()
+            taken_by_team: Counter[int] = Counter()
             for group in self._stop_candidates(number, may_stop):
                 if missing <= 0:
                     break
                 victim = group[0].job
-                seats = len(group) * dict(victim.counted_needs)[number]
+                units = len(group) * dict(victim.counted_needs)[number]
                 if group[0] in chosen:
                     continue
                 if victim.rank <= job.rank or (borrows and resource.team_guarantees[victim.team]):
                     # Take only units beyond the other team's guarantee. Without this, a
                     # critical job that borrowed and a job within its guarantee stopped
                     # each other 150 times in four minutes.
-                    if resource.units_over_guarantee(victim.team) - owed[victim.team] < seats:
+                    if (
+                        resource.units_over_guarantee(victim.team) - taken_by_team[victim.team]
+                        < units
+                    ):
                         continue
-                    owed[victim.team] += seats
+                    taken_by_team[victim.team] += units
                 chosen += group
-                missing -= seats
+                missing -= units
                 for other, each in victim.counted_needs:
                     freed[other] += each * len(group)
             if missing > 0:
@@ -317,7 +332,7 @@
         return chosen
 
     def _teams_over_guarantee(self, job: Job, number: int) -> set[int]:
-        """Return the other teams that hold more units than their guarantee."""
+        """Return the teams, except the job's own, that hold more units than their guarantee."""
         resource = self._ledger.resources[number]
         teams = range(len(resource.held_by_team))
         return {
@@ -356,11 +371,11 @@
 
     def _mark_as_stopping(self, runs: list[TaskRun]) -> None:
         """Set the stop grace of the task runs and count their units as being freed."""
-        coming = self._units_being_stopped()
+        stopping_units = self._units_being_stopped()
         for run in runs:
             run.stop_grace_s = stop_grace_s(run)
             for number, count in run.job.counted_needs:
-                coming[number] += count
+                stopping_units[number] += count
 
     def _units_being_stopped(self) -> Counter[int]:
         """Return the units held by task runs that are being stopped, by resource index."""
@@ -374,8 +389,8 @@
 
     def _uncommitted_stopping_units(self, number: int) -> int:
         """Return the units that stopping task runs will free and that no commitment covers."""
-        promised = sum(
+        committed = sum(
             earmark.units.get(number, 0) for earmark in self._earmarks if earmark.is_committed
         )
-        owed = max(0, promised - max(0, self._unallocated_units(number)))
-        return max(0, self._units_being_stopped()[number] - owed)
+        committed_not_free = max(0, committed - max(0, self._unallocated_units(number)))
+        return max(0, self._units_being_stopped()[number] - committed_not_free)
--- a/appleshift/counted_resources/audit_log.py
+++ b/appleshift/counted_resources/audit_log.py
@@ -79,7 +79,9 @@
             self._add_returns(holder, from_ranges(record[2]), record[3:])
 
     def _apply_job(self, record: Record) -> None:
+        """Store a job that requests counted resources, for entries about its later assignments."""
         values = record[3]
+        # The record of a job without counted resources may lack the field.
         requested = (
             values[_COUNTED_RESOURCES_INDEX] if len(values) > _COUNTED_RESOURCES_INDEX else None
         )
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -136,7 +136,7 @@
         return requests
 
     def _wanted_units(self) -> Counter[int]:
-        """Return the units by resource index that all tasks of open jobs need together."""
+        """Return the units that all unfinished tasks of open jobs need, by resource index."""
         wanted: Counter[int] = Counter()
         for job in self.cluster.jobs.values():
             for number, count in job.counted_needs if job.status == OPEN else ():
--- a/appleshift/counted_resources/license_reservation.py
+++ b/appleshift/counted_resources/license_reservation.py
@@ -96,9 +96,10 @@
             self._start_return(holder, count)
 
     def add_unconfirmed_return(self, holder: str) -> None:
-        """Return a holder to the server again that the log records as returned.
+        """Repeat the return of a holder to the server in the next heartbeats.
 
-        The former leader may not have told the server about it.
+        The log records that it was returned, but the former leader may not have told the
+        server.
         """
         if holder not in self._holders:
             self._unconfirmed_returns[holder] = None
@@ -174,7 +175,11 @@
         )
 
     def next_request(self, now: float, wanted: int) -> PendingReservationRequest:
-        """Return the next heartbeat; it reserves ``wanted`` units or those in use, if more."""
+        """Return the next heartbeat and record it as sent at ``now``.
+
+        It reserves ``wanted`` units, or as many as are in use if that is more. Returned units
+        count as in use until the server confirms their return.
+        """
         self._last_serial += 1
         self._last_request_at = now
         if self._first_request_at is None:
--- a/appleshift/placement/counted_resource_interfaces.py
+++ b/appleshift/placement/counted_resource_interfaces.py
@@ -26,7 +26,7 @@
         ...
 
     def would_borrow(self, job: Job) -> bool:
-        """Return whether the job's next task would exceed a guarantee of its team."""
+        """Return whether the job's next start would exceed a guarantee of its team."""
         ...
 
     def max_tasks(self, job: Job, most: int) -> int:
