--- a/appleshift/contracts/interfaces.py
+++ b/appleshift/contracts/interfaces.py
@@ -170,7 +170,8 @@
         """Return the capacity that all shards need, as CPUs, GPUs and gigabytes.
 
         The first list is the total, the second the part without spot machines; ``own`` are
-        those of this shard.
+        those of this shard. ``gpus`` selects the pool of machines with GPUs, otherwise it is
+        the pool without.
         """
         ...
 
--- a/appleshift/sharding/array_partitions.py
+++ b/appleshift/sharding/array_partitions.py
@@ -132,7 +132,7 @@
         scheduler.append_records([records.cancel_record(job)], durable)
 
     def _remove_divided_job(self, job: Job) -> None:
-        """Remove a divided job whose partitions in other shards do not matter any more."""
+        """Remove a divided job that is cancelled, or whose tasks in other shards are all done."""
         self._divided_jobs.pop(job.spec.id, None)
         for shard, _, _ in job.partitions:
             key = (job.spec.id, shard)
@@ -242,7 +242,7 @@
         )
 
     def _cancel_partition(self, job_id: str) -> None:
-        """Cancel this shard's partition of the job; if it has not arrived, it is never accepted."""
+        """Cancel this shard's partition of the job; one that arrives later is not accepted."""
         scheduler, key = self._scheduler, partition_key(job_id)
         job = scheduler.cluster.job_by_id.get(key)
         if job is not None:
@@ -257,6 +257,7 @@
             scheduler.append_records([records.final_state_record(key, CANCELLED)])
 
     def _partition_status(self, job_id: str) -> PartitionStatus | None:
+        """The status of this shard's partition of a job; None if the shard has no record of it."""
         cluster, key = self._scheduler.cluster, partition_key(job_id)
         final = cluster.final_states.get(key)
         if final is not None:
--- a/appleshift/sharding/fleet_summary.py
+++ b/appleshift/sharding/fleet_summary.py
@@ -160,13 +160,19 @@
             self._move_machines(shard, needs, idle, now)
 
     def _lasting_shortages(self, now: float) -> dict[int, list[UnmetNeed]]:
-        """Unmet needs by shard, for shards in which work has waited for ``SHORTAGE_S / 4``."""
-        own = unmet_needs(self._scheduler) if 0 in self._map.cpu_machine_shards else []
-        self._set_waiting(0, bool(own))
+        """Unmet needs by shard, for shards in which work has waited for ``SHORTAGE_S / 4``.
+
+        Such a shard gets idle machines of other shards first; ``needed_capacity`` makes up for
+        a shortage with rented machines only after ``SHORTAGE_S``.
+        """
+        first_shard_needs = (
+            unmet_needs(self._scheduler) if 0 in self._map.cpu_machine_shards else []
+        )
+        self._set_waiting(0, bool(first_shard_needs))
         needs = {summary.shard: summary.shortages for summary in self._valid_summaries()}
         return {
             shard: found
-            for shard, found in {**needs, 0: own}.items()
+            for shard, found in {**needs, 0: first_shard_needs}.items()
             if found and now - self._waiting_since.get(shard, now) > SHORTAGE_S / 4
         }
 
@@ -240,6 +246,7 @@
             self._waiting_since.pop(shard, None)
 
     def _valid_summaries(self) -> list[ShardSummary]:
+        """The latest summaries that are less than ``SUMMARY_VALID_S`` seconds old."""
         now = self._scheduler.now
         return [summary for at, summary in self._summaries.values() if now - at < SUMMARY_VALID_S]
 
--- a/appleshift/sharding/sharding.py
+++ b/appleshift/sharding/sharding.py
@@ -124,6 +124,7 @@
         """Capacity that all shards need, as (total, without spot machines).
 
         Each is a list of CPUs, GPUs and gigabytes; ``own`` is what this shard needs.
+        ``gpus`` selects the pool of machines with GPUs, otherwise it is the pool without.
         """
         return self._fleet_summary.needed_capacity(gpus, own)
 
