--- a/appleshift/node.py
+++ b/appleshift/node.py
@@ -301,7 +301,7 @@
             self.shard_map_follower.start()
 
     def _add_replica(self, replica: ShardReplica) -> None:
-        """Add the replica of a shard that was added to the shard map."""
+        """Add the replica of a new shard; start it if the node has been started."""
         self.replicas[replica.shard] = replica
         if self._started:
             replica.start()
@@ -332,6 +332,7 @@
     # -- scheduler loop -----------------------------------------------------------------
 
     def _run_loop(self) -> None:
+        """Run the schedulers of this node's shards until the node is stopped."""
         while not self._stop.is_set():
             try:
                 self._run_round()
--- a/appleshift/node_limits/load_monitor.py
+++ b/appleshift/node_limits/load_monitor.py
@@ -47,7 +47,11 @@
         self._last_log_at, self._busy_s, self._max_events = now, 0.0, 0
 
     def log_load(self, busy: float, memory_mb: float, connections: int) -> None:
-        """Log the load; ``busy`` is the busy share of the time, between 0 and 1."""
+        """Log the load, and warn if the node is short of processor time or memory.
+
+        ``busy`` is the busy share of the time, between 0 and 1; ``memory_mb`` is the most
+        memory that the process has used so far.
+        """
         limits, node_limits = self._limits, self._node_limits
         log.info(
             "node load busy_percent=%.0f memory_mb=%.0f memory_limit_mb=%.0f connections=%d"
--- a/appleshift/transport/client.py
+++ b/appleshift/transport/client.py
@@ -77,6 +77,7 @@
         self.body_parts.append(body)
 
     def on_message_complete(self) -> None:
+        # An interim response (1xx) is followed by the final one.
         if self.parser.get_status_code() >= 200:
             self.complete = True
             # Must be read here: the parser resets it for the next message.
@@ -175,7 +176,7 @@
         return reader
 
     def _acquire(self, timeout: float) -> tuple[socket.socket, bool]:
-        """Return a connection, and whether it was used by an earlier request."""
+        """Return an idle or a new connection, and whether it was used by an earlier request."""
         now = time.monotonic()
         with self._lock:
             while self._idle_connections:
