--- a/appleshift/api/forwarding.py
+++ b/appleshift/api/forwarding.py
@@ -42,7 +42,7 @@
         """The response of the shard's leader; 503 without a leader or after a timeout.
 
         Only a shard's leader answers users, so that no user receives an outdated response.
-        The caller has found that this node does not lead the shard.
+        Callers have checked ``ApiContext.is_led_elsewhere``.
 
         ``forwarded``: a peer forwarded the request to this node. ``wait_for_election``: wait
         up to ``ELECTION_WAIT_S`` seconds for a new leader instead of answering 503 at once.
@@ -55,7 +55,7 @@
         while True:
             leader = replica.election.current_leader()
             if leader == replica.election.node_name and context.is_entitled(replica):
-                # This node was elected meanwhile.
+                # This node has obtained a valid leader lease meanwhile.
                 return self._route(request)
             client = context.peer_clients.get(leader) if leader else None
             if client is not None:
