--- a/appleshift/connectivity/connectivity_monitor.py
+++ b/appleshift/connectivity/connectivity_monitor.py
@@ -27,7 +27,7 @@
 CONFIRMATION_TIMEOUT_S = 1.2
 """Timeout of the call in which a peer confirms that it reaches workers."""
 MAX_CONFIRMATION_PROBES = 2
-"""Maximum thread_number of workers that a peer probes, one after the other, before it responds."""
+"""Maximum number of workers that a peer probes, one after the other, before it responds."""
 HAND_OVER_PAUSE_S = 1.0
 """Delay after a hand-over request before the next check."""
 NO_CONTACT_AGE_S = -1.0
--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -88,7 +88,7 @@
                 job.counted_needs = self.needs_per_task(job.spec)
 
     def end_recovery(self) -> None:
-        """Return units to the license servers again that earlier terms may not have returned.
+        """Repeat the returns to license servers that earlier terms may not have completed.
 
         Called after all assignments have been recovered.
         """
