--- a/appleshift/counted_resources/counted_resource_scheduler.py
+++ b/appleshift/counted_resources/counted_resource_scheduler.py
@@ -88,7 +88,7 @@
                 job.counted_needs = self.needs_per_task(job.spec)
 
     def end_recovery(self) -> None:
-        """Return units to the license servers again that earlier terms may not have returned.
+        """Repeat the returns to license servers that earlier terms may not have completed.
 
         Called after all assignments have been recovered.
         """
@@ -139,7 +139,7 @@
         return requests
 
     def _wanted_units(self) -> Counter[int]:
-        """Return the units by resource index that all tasks of open jobs need together."""
+        """Return the units that all unfinished tasks of open jobs need, by resource index."""
         wanted: Counter[int] = Counter()
         for job in self.cluster.jobs.values():
             for number, count in job.counted_needs if job.status == OPEN else ():
