--- a/tests/support/fault_injection.py
+++ b/tests/support/fault_injection.py
@@ -24,6 +24,7 @@
 
 
 def _store_outage(world: World) -> None:
+    """The store rejects all requests for 1 to 25 s."""
     world.store.unavailable = True
     world.sim.after(world.rng.uniform(1.0, 25.0), world.store.recover)
 
@@ -49,6 +50,7 @@
 
 
 def _isolate(world: World, endpoint: str) -> None:
+    """Isolate a node or a machine for 2 to 30 s."""
     world.isolated_ends.add(endpoint)
     world.sim.after(world.rng.uniform(2.0, 30.0), lambda: world.isolated_ends.discard(endpoint))
 
--- a/tests/support/input_fuzzer.py
+++ b/tests/support/input_fuzzer.py
@@ -36,6 +36,7 @@
 
 
 def submission(body: bytes) -> None:
+    """Decode a submission; counts of requested resources must be within their bounds."""
     with contextlib.suppress(wire.ProtocolError):
         spec = users.decode_submission(body)
         wanted = counted_resources.parse_requested_counts(spec.counted_resources)
@@ -44,11 +45,13 @@
 
 
 def heartbeat(body: bytes) -> None:
+    """Decode a heartbeat."""
     with contextlib.suppress(wire.ProtocolError):
         workers.decode_heartbeat(body)
 
 
 def reservation_reply(body: bytes) -> None:
+    """Apply a license server's reply; the capacity must never exceed the reservation."""
     reservation = license_reservation.LicenseReservation("lic", SERVER, 1)
     reservation.checked_out("job-000001/0#1", 2)
     reservation.checked_out("job-000001/1#1", 1)
@@ -67,6 +70,7 @@
 
 
 def definitions(body: bytes) -> None:
+    """Load an operator file."""
     TEXT.write_bytes(body)
     with contextlib.suppress(settings.SettingsError):
         operator.load_operator_settings(TEXT)
