--- a/tests/simulation/test_day_files.py
+++ b/tests/simulation/test_day_files.py
@@ -134,7 +134,7 @@
 
 def test_recovery_time_counts_from_first_crash_that_ended_a_term() -> None:
     terms = [(0.5, "a"), (10.8, "b"), (11.5, "c"), (40.0, "a")]
-    # Crashes of the leader, of its successor before its first submission, and of followers.
+    # The leader, its successor before its first submission, a follower, a later leader.
     crashes = [(10.0, "a"), (11.0, "b"), (20.0, "a"), (39.0, "c")]
     assert taken_again(crashes, terms, [0.9, 12.0, 41.0]) == [2.0, 2.0]
     assert taken_again([(20.0, "b")], terms[:1], [0.9, 30.0]) == []
