--- a/tests/simulation/test_loopback_cluster.py
+++ b/tests/simulation/test_loopback_cluster.py
@@ -73,7 +73,7 @@
         assert len(loopback.invariants.jobs[job].done) == 12
     loopback.request_until(service, "poll", "running")
     loopback.request_until(service, "cancel", "aborted")
-    # No process exited by itself, and each node answers on its port.
+    # No process exited by itself, and each node responds on its port.
     assert [process.poll() for process in loopback.processes.values()] == [None] * 3
     for name in loopback.names:
         loopback.wait_until_reachable(name)
