--- a/tests/sharding/test_sharding_model.py
+++ b/tests/sharding/test_sharding_model.py
@@ -278,6 +278,20 @@
         scenario(SharesMachine())
 
 
+def test_cancellation_lost_with_its_leader_leaves_no_task_unrun() -> None:
+    """A leader fails before the cancellation of a divided job is durable.
+
+    It has already sent the cancellation to the other shard, which cancels its partition for
+    good, while the next leader of the job's shard recovers the job as open.
+    """
+    model = SharesMachine()
+    model.go_on(rounds=1)
+    model.user(IDS[0], "cancel")
+    model.decide(HOME)
+    model.fall(HOME, applied=False)
+    model.teardown()
+
+
 # Planted defects and the failure that must be reported; an empty text stands for any.
 DEFECTS: list[tuple[Callable[[Patch], None], str]] = [
     (machine_is_handed_off_with_tasks, ""),
