--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -40,6 +40,11 @@
         items[:] = order_for_workers(items, workers)
 
 
+def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
+    for report in terminalreporter.stats.get("xfailed", []):
+        terminalreporter.write_line(f"{KNOWN_RED.name}: {report.nodeid} failed as expected")
+
+
 def expected_duration_s(item: pytest.Item) -> float:
     mark = item.get_closest_marker("slow")
     return DEFAULT_TEST_DURATION_S if mark is None else float(mark.args[0])
